--- a/pollenfold/core/admission.py
+++ b/pollenfold/core/admission.py
@@ -27,10 +27,11 @@
     deadline: Instant,
     now: Instant,
 ) -> Result[None, ErrorKind]:
-    """Decide at once whether a request may wait for a slot.
+    """Decide on arrival whether a request may wait for a slot.
 
-    ``QUEUE_FULL`` when the queue holds ``queue_limit`` requests;
-    ``DEADLINE_EXCEEDED`` when the wait and one service time would pass the deadline.
+    The error is ``QUEUE_FULL`` when the queue holds ``queue_limit`` requests, and
+    ``DEADLINE_EXCEEDED`` when the expected wait and one service time would end after
+    the deadline.
     """
     if n_waiting >= queue_limit:
         return Error(ErrorKind.QUEUE_FULL)
@@ -45,7 +46,7 @@
 
 
 def retry_after_s(n_waiting: int, n_slots: int, service_ms: float) -> int:
-    """Return the seconds after which the present queue will have been served."""
+    """Return the seconds in which the current queue is expected to drain."""
     wait_ms = expected_wait_ms(n_waiting, n_slots, service_ms)
     if math.isinf(wait_ms):
         return MIN_RETRY_AFTER_S
--- a/pollenfold/core/clock.py
+++ b/pollenfold/core/clock.py
@@ -13,21 +13,21 @@
 
 
 def remaining_ms(deadline: Instant, now: Instant) -> float:
-    """Return the milliseconds left until the deadline, never below zero.
+    """Return the milliseconds until the deadline, at least zero.
 
-    Both instants must come from the same clock. For example, a deadline at 1500
-    read at 1200 leaves 300.
+    Both instants must come from the same clock. For example, a deadline of 1500
+    leaves 300 at 1200.
     """
     return max(0.0, deadline - now)
 
 
 def add_ms(instant: Instant, duration_ms: float) -> Instant:
-    """Return the instant that lies ``duration_ms`` after the given one."""
+    """Return the instant ``duration_ms`` after the given one."""
     return Instant(instant + duration_ms)
 
 
 class ManualClock:
-    """A clock that moves only when told to, for tests.
+    """A manually advanced clock for tests.
 
     For example, ``clock = ManualClock(); clock.advance(5)`` makes the next
     ``clock()`` return 5.
--- a/pollenfold/core/digests.py
+++ b/pollenfold/core/digests.py
@@ -1,7 +1,8 @@
-"""Digests of announcements, so that two sides exchange only what differs.
+"""Digests of announcements, with which two processes exchange only the differences.
 
-Endpoints fall into buckets by their id. The digest of a bucket doesn't depend on the
-order of its announcements, nor on sequence numbers, which rise with each heartbeat.
+Endpoints are hashed into buckets by id. The digest of a bucket depends neither on the
+order of its announcements nor on their sequence numbers, which rise with each
+heartbeat.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 def bucket_digests(announcements: Iterable[Announcement]) -> list[int]:
-    """Return the digest of each bucket; 0 stands for an empty one."""
+    """Return the digest of each bucket; an empty bucket has the digest 0."""
     digests = [0] * N_BUCKETS
     for announcement in announcements:
         digests[bucket(announcement.endpoint_id)] ^= _digest(announcement)
@@ -38,13 +39,13 @@
 def differing(
     announcements: Iterable[Announcement], digests: object
 ) -> list[Announcement]:
-    """Return the announcements in buckets whose digests another side has otherwise.
+    """Return the announcements in the buckets whose digests differ from the peer's.
 
-    Without usable digests of the other side these are all of them.
+    Without valid digests from the peer, return all announcements.
     """
     known = list(announcements)
     if not isinstance(digests, list) or len(digests) != N_BUCKETS:
         return known
     own = bucket_digests(known)
-    is_other = [own[n] != digests[n] for n in range(N_BUCKETS)]
-    return [a for a in known if is_other[bucket(a.endpoint_id)]]
+    differs = [own[n] != digests[n] for n in range(N_BUCKETS)]
+    return [a for a in known if differs[bucket(a.endpoint_id)]]
--- a/pollenfold/core/measurement.py
+++ b/pollenfold/core/measurement.py
@@ -1,4 +1,4 @@
-"""The measurement budget of a service, and load reports with their age."""
+"""The load measurement budget of a service, and parsing of load reports."""
 
 from __future__ import annotations
 
@@ -12,31 +12,30 @@
 from .token_bucket import TokenBucket
 
 MAX_REPORT_BYTES = 512
-"""Longest load report that is read."""
+"""Maximum length of a load report; longer ones are rejected."""
 
 MAX_PROBE_BYTES = 1024
-"""Bytes that a probe reserves, request and response; the rest is given back."""
+"""Bytes reserved for a probe's request and response; unused bytes are refunded."""
 
 REPORT_BYTES = 64
-"""Bytes that a report on a response reserves: the header that asks for it and the
-header that carries it."""
+"""Bytes reserved for a report on a response: the header that requests the report and
+the header that carries it."""
 
 MAX_LOAD = 4.0
-"""Greatest reported load per slot; a larger figure tells nothing more."""
+"""Cap of the reported load per slot; higher values carry no further information."""
 
-_MAX_FIGURE = 1_000_000
+_MAX_COUNT = 1_000_000
 
-_USUAL_REPORT = re.compile(rb"in_flight=(\d{1,7});slots=(\d{1,7});cold=([01])")
-"""The form that nearly every report has; reading it costs less than splitting."""
+_COMMON_REPORT = re.compile(rb"in_flight=(\d{1,7});slots=(\d{1,7});cold=([01])")
+"""The form of nearly all reports; matching it is cheaper than splitting."""
 
 
 class MeasurementBudget:
-    """This entry's part of what a service may spend on load measurement.
+    """This entry's share of a service's load measurement budget.
 
-    The part is the budget divided by the greatest number of entries, not by the
-    number that this entry believes in. A bucket starts empty, so that restarts do
-    not add to the budget. ``burst`` is one second of the rate and at least one
-    probe.
+    The share is the budget divided by the maximum number of entries, not by the
+    number in this entry's view. The token buckets start empty, so restarts don't
+    add to the budget. The burst is one second of the rate, and at least one probe.
     """
 
     def __init__(self, spec: ServiceSpec, max_entries: int, now: Instant) -> None:
@@ -55,17 +54,17 @@
         return self._bytes.try_take(MAX_PROBE_BYTES, now)
 
     def finish_probe(self, n_bytes: int, now: Instant) -> None:
-        """Settle a reserved probe with the bytes that it used."""
+        """Correct the reservation of a probe to the bytes that it used."""
         if n_bytes <= MAX_PROBE_BYTES:
             self._bytes.give_back(MAX_PROBE_BYTES - n_bytes, now)
         else:
             self._bytes.charge(n_bytes - MAX_PROBE_BYTES, now)
 
     def try_request_report(self, now: Instant, is_urgent: bool = False) -> bool:
-        """Reserve the bytes to ask for a report on a response, or return False.
+        """Reserve the bytes to request a report on a response, or return False.
 
-        Half of the burst is left for probes, which reach the endpoints that get no
-        requests, and for urgent reports, which a warm-up needs.
+        Half of the burst is kept for probes, which cover endpoints without requests,
+        and for urgent reports, which a warm-up needs.
         """
         reserve = 0.0 if is_urgent else self._bytes.burst / 2
         if self._bytes.level(now) < reserve + REPORT_BYTES:
@@ -73,10 +72,10 @@
         return self._bytes.try_take(REPORT_BYTES, now)
 
     def count_report(self, n_bytes: int, was_requested: bool, now: Instant) -> None:
-        """Count the bytes of a report that came on a response.
+        """Charge the bytes of a report that came on a response.
 
-        A report that was not asked for costs its bytes too; then probes and further
-        requests for reports wait until the debt is paid.
+        An unrequested report is charged too and may overdraw the budget; probes and
+        further report requests then wait until the deficit is refilled.
         """
         reserved = REPORT_BYTES if was_requested else 0
         self._bytes.charge(max(0, n_bytes - reserved), now)
@@ -84,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a backend server said of itself, and when that was received."""
+    """The load that a backend server reported, and when the report was received."""
 
     in_flight: int
     slots: int
@@ -93,19 +92,19 @@
 
     @property
     def load(self) -> float:
-        """Requests in flight for each slot."""
+        """Requests in flight per slot, capped at ``MAX_LOAD``."""
         return min(MAX_LOAD, self.in_flight / max(1, self.slots))
 
 
 def parse_load_header(value: bytes, now: Instant) -> LoadReport | None:
-    """Read ``in_flight=3;slots=6;cold=0``; return None when it is malformed.
+    """Parse ``in_flight=3;slots=6;cold=0``; return None if it is malformed.
 
-    Unknown fields are ignored, and ``cold`` may be missing.
+    Unknown fields are ignored, and ``cold`` is optional.
     """
-    usual = _USUAL_REPORT.fullmatch(value)
-    if usual is not None:
-        in_flight, slots, cold = map(int, usual.groups())
-        return _report(in_flight, slots, cold, now)
+    common = _COMMON_REPORT.fullmatch(value)
+    if common is not None:
+        in_flight, slots, cold = map(int, common.groups())
+        return _make_report(in_flight, slots, cold, now)
     if len(value) > MAX_REPORT_BYTES:
         return None
     fields: dict[str, int] = {}
@@ -116,13 +115,13 @@
         if name in fields or not (text.isascii() and text.isdigit()) or len(text) > 7:
             return None
         fields[name] = int(text)
-    return _report(
+    return _make_report(
         fields.get("in_flight"), fields.get("slots"), fields.get("cold", 0), now
     )
 
 
 def parse_load_body(body: bytes, now: Instant) -> LoadReport | None:
-    """Read ``{"in_flight": 3, "slots": 6, "cold": false}``, None when malformed."""
+    """Parse ``{"in_flight": 3, "slots": 6, "cold": false}``; None if malformed."""
     if len(body) > MAX_REPORT_BYTES:
         return None
     try:
@@ -131,14 +130,16 @@
         return None
     if not isinstance(value, dict):
         return None
-    return _report(
+    return _make_report(
         value.get("in_flight"), value.get("slots"), value.get("cold", False), now
     )
 
 
-def _report(in_flight: Any, slots: Any, cold: Any, now: Instant) -> LoadReport | None:
-    for figure in (in_flight, slots):
-        if type(figure) is not int or not 0 <= figure <= _MAX_FIGURE:
+def _make_report(
+    in_flight: Any, slots: Any, cold: Any, now: Instant
+) -> LoadReport | None:
+    for count in (in_flight, slots):
+        if type(count) is not int or not 0 <= count <= _MAX_COUNT:
             return None
     if type(cold) not in (int, bool) or cold not in (0, 1) or slots < 1:
         return None
--- a/pollenfold/core/token_bucket.py
+++ b/pollenfold/core/token_bucket.py
@@ -1,4 +1,4 @@
-"""Units that come at a rate and are kept up to a burst."""
+"""A token bucket that can be overdrawn."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class TokenBucket:
-    """Allows ``rate_per_s`` units a second, and up to ``burst`` at once.
+    """Allows ``rate_per_s`` tokens per second, and up to ``burst`` at once.
 
-    ``charge`` takes units that were already used and may leave a debt, which must
-    be paid before ``try_take`` allows anything again.
+    ``charge`` removes tokens for usage that already took place and may leave a
+    negative level, which must be refilled before ``try_take`` succeeds again.
     """
 
     __slots__ = ("rate_per_s", "burst", "_level", "_updated")
@@ -17,14 +17,14 @@
     def __init__(
         self, rate_per_s: float, burst: float, now: Instant, level: float = 0.0
     ) -> None:
-        """Make a bucket that holds ``level`` units at first."""
+        """Create a bucket with ``level`` initial tokens."""
         self.rate_per_s = rate_per_s
         self.burst = burst
         self._level = level
         self._updated = now
 
     def level(self, now: Instant) -> float:
-        """Return the units that are available, negative for a debt."""
+        """Return the number of available tokens; negative if overdrawn."""
         if now > self._updated:
             gain = self.rate_per_s * (now - self._updated) / 1000
             self._level = min(self.burst, self._level + gain)
@@ -32,17 +32,17 @@
         return self._level
 
     def try_take(self, amount: float, now: Instant) -> bool:
-        """Take the amount if it is available."""
+        """Remove ``amount`` tokens, or return False if fewer are available."""
         if self.level(now) < amount:
             return False
         self._level -= amount
         return True
 
     def charge(self, amount: float, now: Instant) -> None:
-        """Take the amount in any case."""
+        """Remove ``amount`` tokens even if fewer are available."""
         self.level(now)
         self._level -= amount
 
     def give_back(self, amount: float, now: Instant) -> None:
-        """Return units that were taken and not used."""
+        """Return unused tokens to the bucket, up to the burst."""
         self._level = min(self.burst, self.level(now) + amount)
--- a/pollenfold/tests/core/test_admission.py
+++ b/pollenfold/tests/core/test_admission.py
@@ -1,4 +1,4 @@
-"""Requests that can't meet their deadline are refused at once."""
+"""Tests of the admission to the queue of a service."""
 
 import pytest
 
@@ -20,7 +20,7 @@
     ],
 )
 def test_admission(n_waiting, n_slots, service_ms, deadline_ms, expected):
-    """Guards against a request that waits although it can't be served in time."""
+    """Guards against queueing a request that can't be served before its deadline."""
     result = admit(
         n_waiting, 100, n_slots, service_ms, Instant(deadline_ms), Instant(0.0)
     )
@@ -28,6 +28,6 @@
 
 
 def test_retry_after_covers_the_queue():
-    """Guards against callers that come back while the queue is still full."""
+    """Guards against a Retry-After so short that the queue is still full."""
     assert retry_after_s(n_waiting=999, n_slots=10, service_ms=50.0) == 5
     assert retry_after_s(n_waiting=0, n_slots=0, service_ms=50.0) == 1
--- a/pollenfold/tests/core/test_allowances.py
+++ b/pollenfold/tests/core/test_allowances.py
@@ -1,4 +1,4 @@
-"""Limits that hold for the sum over all entries."""
+"""Tests of limits on the sum over all entries."""
 
 import pytest
 
@@ -13,8 +13,8 @@
 from pollenfold.core.token_bucket import TokenBucket
 
 
-def test_largest_fleet_seen_lately_counts():
-    """Guards against parts that grow while some entries are merely cut off."""
+def test_largest_recent_fleet_size_counts():
+    """Guards against shares that grow while some entries are only partitioned."""
     fleet = FleetSize()
     assert fleet.get(0.0) == UNKNOWN_FLEET_SIZE
     fleet.report(19, 0.0)
@@ -24,8 +24,8 @@
 
 
 @pytest.mark.parametrize("n_entries", [1, 7, 19, 94])
-def test_extra_sends_stay_within_the_sum(n_entries):
-    """Guards against retries of all entries that together break the budget."""
+def test_extra_sends_stay_within_the_total_budget(n_entries):
+    """Guards against retries of all entries that together exceed the budget."""
     allowances = [RetryAllowance(0.2, 64, 10_000) for _ in range(n_entries)]
     n_requests = n_extra = 0
     for step in range(2_000):
@@ -38,7 +38,7 @@
 
 
 def test_window_slides():
-    """Guards against a limit that holds only between fixed marks."""
+    """Guards against a limit that holds only in windows with fixed boundaries."""
     count = WindowCount(1_000.0)
     for now in (0.0, 600.0, 900.0):
         count.add(now)
@@ -47,8 +47,8 @@
     assert count.get(1_950.0) == 0
 
 
-def test_token_bucket_fills_at_its_rate():
-    """Guards against permits that are given twice or lost."""
+def test_token_bucket_refills_at_its_rate():
+    """Guards against tokens that are granted twice or lost."""
     bucket = TokenBucket(10.0, 5.0, 0.0, level=5.0)
     assert bucket.try_take(5.0, 0.0)
     assert not bucket.try_take(1.0, 50.0)
@@ -57,18 +57,18 @@
 
 @pytest.mark.parametrize("n_entries", [1, 5, 12, 19, 30, 94, 300])
 def test_cold_limit_holds_for_all_entries_together(n_entries):
-    """Guards against a cold endpoint that entries overrun with one request each.
+    """Guards against overloading a cold endpoint with one request from each entry.
 
-    Half of the entries see only half of the directory.
+    Half of the entries know only half of the directory.
     """
     limit = cold_rate_limit(9.2, 1.5, 5.0)
     names = [f"e{number}" for number in range(n_entries)]
-    whole = frozenset(names)
+    complete = frozenset(names)
     half = frozenset(names[: n_entries // 2 + 1])
     for endpoint_id in ("i-1", "i-2", "i-3"):
         permits = [
             n_cold_permits(
-                limit, name, half if k % 2 else whole, endpoint_id, n_entries
+                limit, name, half if k % 2 else complete, endpoint_id, n_entries
             )
             for k, name in enumerate(names)
         ]
--- a/pollenfold/tests/core/test_digests.py
+++ b/pollenfold/tests/core/test_digests.py
@@ -1,4 +1,4 @@
-"""Digests of announcements: they differ exactly where the announcements do."""
+"""Tests that digests differ exactly where the announcements do."""
 
 from dataclasses import replace
 
@@ -23,19 +23,19 @@
         {"warmup_left_ms": 5.0},
     ],
 )
-def test_changed_announcement_is_found(change):
-    """Guards against an entry that keeps an old word for want of a difference."""
+def test_changed_announcement_differs(change):
+    """Guards against a change that the digest misses, so an entry keeps stale data."""
     changed = [replace(KNOWN[0], **change), *KNOWN[1:]]
     assert changed[0] in differing(changed, bucket_digests(KNOWN))
 
 
-def test_order_and_heartbeats_make_no_difference():
-    """Guards against lists that are sent again only because time passed."""
-    later = [replace(a, sequence=9) for a in reversed(KNOWN)]
-    assert differing(later, bucket_digests(KNOWN)) == []
+def test_order_and_heartbeats_keep_the_digest():
+    """Guards against resending lists because of heartbeats alone."""
+    heartbeated = [replace(a, sequence=9) for a in reversed(KNOWN)]
+    assert differing(heartbeated, bucket_digests(KNOWN)) == []
 
 
 @pytest.mark.parametrize("digests", [None, "x", [1, 2], [0] * 16])
-def test_reader_without_usable_digests_gets_all(digests):
-    """Guards against a list that stays empty for a reader of another version."""
+def test_subscriber_without_valid_digests_gets_all(digests):
+    """Guards against a list that stays empty for a subscriber of another version."""
     assert differing(KNOWN, digests) == KNOWN
--- a/pollenfold/tests/core/test_lease.py
+++ b/pollenfold/tests/core/test_lease.py
@@ -1,11 +1,11 @@
-"""The lease of an entry, with late and repeated responses."""
+"""Tests of the lease of an entry, with late and repeated responses."""
 
 from pollenfold.core.clock import Instant
 from pollenfold.core.lease import Lease
 
 
-def test_lease_counts_from_sending():
-    """Guards against an entry that works on after the leader saw its lease end."""
+def test_lease_duration_counts_from_the_request():
+    """Guards against an entry that works after its lease expired at the leader."""
     lease = Lease()
     assert not lease.is_valid(Instant(0))
     assert lease.renew(Instant(100), 2000, 0, Instant(900))
@@ -23,8 +23,8 @@
     assert not lease.is_valid(Instant(3000))
 
 
-def test_ended_lease_starts_only_with_the_newest_revision():
-    """Guards against an entry that returns with a configuration that was replaced."""
+def test_expired_lease_restarts_only_with_the_newest_revision():
+    """Guards against an entry that returns with an outdated configuration."""
     lease = Lease()
     lease.advance(5)
     assert lease.renew(Instant(0), 2000, 5, Instant(10))
@@ -34,16 +34,16 @@
     assert lease.renew(Instant(4000), 2000, 6, Instant(4010))
 
 
-def test_revision_never_falls():
-    """Guards against an entry that goes back to an older configuration."""
+def test_revision_never_decreases():
+    """Guards against an entry that reverts to an older configuration."""
     lease = Lease()
     assert lease.advance(7)
     assert not lease.advance(6)
     assert lease.revision == 7
 
 
-def test_beginning_of_an_unbroken_lease():
-    """Guards against work with the endpoints from before a lapse of the lease."""
+def test_start_of_a_continuous_lease():
+    """Guards against using endpoints known from before the lease lapsed."""
     lease = Lease()
     lease.renew(Instant(0.0), 100.0, 0, Instant(10.0))
     lease.renew(Instant(90.0), 100.0, 0, Instant(95.0))
--- a/pollenfold/tests/core/test_link.py
+++ b/pollenfold/tests/core/test_link.py
@@ -1,14 +1,14 @@
-"""The model of the own link: what is queued there, and the pace of long bodies."""
+"""Tests of the link model: its backlog, and the pacing of long bodies."""
 
 from pollenfold.core.clock import Instant
 from pollenfold.core.link import Link
 
 RATE = 256.0
-"""Bytes a millisecond, some 2 Mbit/s."""
+"""Bytes per millisecond, about 2 Mbit/s."""
 
 
-def test_unknown_link_queues_and_paces_nothing():
-    """Guards against waits on a machine whose settings don't tell the rate."""
+def test_unknown_link_rate_disables_backlog_and_pacing():
+    """Guards against delays on a machine whose settings lack the link rate."""
     link = Link()
     link.note_received(1 << 20, Instant(0.0))
     link.note_sent(1 << 20, Instant(0.0))
@@ -17,26 +17,26 @@
     assert link.reserve_piece(1 << 20, Instant(0.0)) == 0.0
 
 
-def test_end_of_a_body_can_be_read_before_the_link_is_free():
-    """Guards against questions that time out behind the end of an upload."""
+def test_end_of_a_body_can_be_read_before_the_link_is_idle():
+    """Guards against probes that time out behind the end of an upload."""
     link = Link(RATE)
     link.note_received(25_600, since=Instant(1_000.0))
     assert link.backlog_ms(Instant(1_060.0)) == 40.0
     assert link.backlog_ms(Instant(1_200.0)) == 0.0
 
 
-def test_bodies_at_the_same_time_queue_one_behind_the_other():
-    """Guards against a link that is taken to carry two bodies in the time of one."""
+def test_concurrent_bodies_queue_behind_each_other():
+    """Guards against a model that carries two bodies in the time of one."""
     link = Link(RATE)
     link.note_received(25_600, since=Instant(0.0))
     link.note_received(25_600, since=Instant(0.0))
     assert link.backlog_ms(Instant(0.0)) == 200.0
 
 
-def test_long_bodies_share_a_pace_below_the_rate_of_the_link():
-    """Load pattern: several uploads at once through one entry with a slow link.
+def test_long_bodies_are_paced_below_the_link_rate():
+    """Guards against a queue on the link that delays short messages.
 
-    Guards against a queue on the link that short messages would wait behind.
+    It builds up when several concurrent uploads pass one entry with a slow link.
     """
     link = Link(RATE)
     assert link.piece_bytes > 0
@@ -51,6 +51,6 @@
     assert n_bytes / now <= RATE
 
 
-def test_fast_link_takes_long_pieces():
+def test_fast_link_uses_long_pieces():
     """Guards against thousands of wake-ups for one body on a fast link."""
     assert Link(125_000.0).piece_bytes >= 1 << 20
--- a/pollenfold/tests/core/test_measurement.py
+++ b/pollenfold/tests/core/test_measurement.py
@@ -1,4 +1,4 @@
-"""The measurement budget, load reports and their age."""
+"""Tests of the measurement budget and the parsing of load reports."""
 
 import pytest
 from hypothesis import given
@@ -22,8 +22,8 @@
     return Instant(float(ms))
 
 
-def spent(budget, n_seconds, step_ms, n_bytes):
-    """Probe as often as allowed; return the probes and their bytes."""
+def probe_until_exhausted(budget, n_seconds, step_ms, n_bytes):
+    """Probe as often as the budget allows; return the numbers of probes and bytes."""
     n_probes = 0
     for step in range(int(n_seconds * 1000 / step_ms)):
         now = at(step * step_ms)
@@ -36,24 +36,24 @@
 @pytest.mark.parametrize("n_bytes", [100, MAX_PROBE_BYTES, 5 * MAX_PROBE_BYTES])
 @pytest.mark.parametrize("probes_per_s, bytes_per_s", [(38, 1e9), (1e6, 40_000)])
 def test_fleet_stays_within_the_budget(probes_per_s, bytes_per_s, n_bytes):
-    """Guards against measuring that costs more than agreed, whatever the entries
-    believe of each other, also after a start, and however long the answers are."""
+    """Guards against probes that exceed the budget, regardless of how many entries
+    each entry knows, also after a start, and for any length of the responses."""
     spec = make_service(probes_per_s=probes_per_s, probe_bytes_per_s=bytes_per_s)
     n_seconds = 30
     n_probes = n_probe_bytes = 0
     for _ in range(MAX_ENTRIES):
         budget = MeasurementBudget(spec, MAX_ENTRIES, NOW)
-        probes, used = spent(budget, n_seconds, 10, n_bytes)
+        probes, used = probe_until_exhausted(budget, n_seconds, 10, n_bytes)
         n_probes += probes
         n_probe_bytes += used
     assert 0 < n_probes <= probes_per_s * n_seconds
-    # One answer longer than reserved leaves a debt in each entry's bucket.
-    debt = MAX_ENTRIES * max(0, n_bytes - MAX_PROBE_BYTES)
-    assert n_probe_bytes <= bytes_per_s * n_seconds + debt
+    # A response longer than reserved overdraws the bucket of each entry once.
+    overdraft = MAX_ENTRIES * max(0, n_bytes - MAX_PROBE_BYTES)
+    assert n_probe_bytes <= bytes_per_s * n_seconds + overdraft
 
 
-def test_reports_on_responses_count():
-    """Guards against figures on responses that come on top of the budget."""
+def test_reports_on_responses_are_charged():
+    """Guards against reports on responses that aren't charged to the budget."""
     spec = make_service(probe_bytes_per_s=MAX_PROBE_BYTES * 4.0, probes_per_s=100.0)
     budget = MeasurementBudget(spec, 1, NOW)
     assert budget.try_request_report(at(900))
@@ -65,7 +65,7 @@
 
 
 def test_requested_reports_stop_at_the_budget():
-    """Guards against a header on each of thousands of calls a second."""
+    """Guards against requesting a report on each of thousands of calls per second."""
     spec = make_service(probe_bytes_per_s=10_000.0)
     budget = MeasurementBudget(spec, 1, NOW)
     n_requested = 0
@@ -116,12 +116,12 @@
     + [(parse_load_body, *row) for row in BODIES],
 )
 def test_parsed_reports(parse, data, expected):
-    """Guards against a malformed report that raises or is taken as valid."""
+    """Guards against a malformed report that raises or is accepted as valid."""
     assert parse(data, NOW) == expected
 
 
 @given(st.binary(max_size=600))
 def test_no_report_raises(data):
-    """Guards against any bytes of a backend server that stop the entry."""
+    """Guards against an entry that crashes on arbitrary bytes of a backend server."""
     parse_load_header(data, NOW)
     parse_load_body(data, NOW)
