--- a/pollenfold/core/overload.py
+++ b/pollenfold/core/overload.py
@@ -1,10 +1,10 @@
-"""Admission while a service has less capacity than its callers ask for.
+"""Admission control while the demand on a service exceeds its capacity.
 
-A response that comes after its target is worth little, but takes as much capacity as
-one in time. So while the servers are crowded they get the requests that can still be
-answered in time; the others are refused at once, with a time to come back, and are
-served from the capacity that the first ones leave. Without this every request waits
-in the servers' queues and nearly all come late.
+A response after its latency target has little value but uses as much capacity as one
+in time. Overloaded servers are therefore sent only requests that can still meet their
+target. Other requests are refused immediately with a retry delay, and are served from
+spare capacity. Without admission control every request would wait in the servers'
+queues and nearly all responses would be late.
 """
 
 from __future__ import annotations
@@ -17,85 +17,87 @@
 from .selection import ServerLoad
 
 SPREAD_FACTOR = 1.15
-"""Work varies from request to request; the estimate is raised by this much."""
+"""Safety factor on the work estimate, since work varies between requests."""
 
-SPARE_SHARE = 0.67
-"""A server with no more busy slots than this has room for late requests."""
+LATE_MAX_BUSY_SHARE = 0.67
+"""Share of busy slots up to which a server has spare capacity for late requests."""
 
-FIRST_WORK_SHARE = 0.35
-"""The share of the target that work is taken to need before any was measured."""
+INITIAL_WORK_SHARE = 0.35
+"""Initial work estimate as a share of the latency target, before any measurement."""
 
-PATIENCE_SPREAD = 0.2
-DEADLINE_MEMORY_MS = 30_000.0
+DEADLINE_TOLERANCE = 0.2
+DEADLINE_WINDOW_MS = 30_000.0
 MIN_RETRY_AFTER_MS = 100.0
-QUICK_RETRY_AFTER_MS = (5.0, 20.0)
+SHORT_RETRY_AFTER_MS = (5.0, 20.0)
 RETRY_AFTER_SHARES = (0.2, 0.33)
-"""Callers honour up to a third of the time they have left."""
+"""Shares of the remaining time. Callers honour delays up to a third of it."""
 
 
 class WorkEstimate:
-    """How long the requests of one route take on an idle server, in ms."""
+    """Estimated duration in ms of the requests of one route on an idle server."""
 
     __slots__ = ("_work_ms",)
 
     def __init__(self, target_ms: float) -> None:
-        self._work_ms = FIRST_WORK_SHARE * target_ms
+        self._work_ms = INITIAL_WORK_SHARE * target_ms
 
     def observe(self, latency_ms: float, slowdown: float) -> None:
-        """Take the latency of a request that was sent to a server so slow."""
+        """Update the estimate with a latency at a server with the given slowdown."""
         work_ms = latency_ms / max(slowdown, 1.0)
         self._work_ms += 0.05 * (work_ms - self._work_ms)
 
     def get(self) -> float:
-        """Return the present estimate."""
+        """Return the current estimate."""
         return self._work_ms
 
 
 class CallerAge:
-    """Tells how long ago the caller of a route made its first attempt.
+    """Estimates how long ago a caller of a route made its first attempt.
 
-    A caller sends the time it has left, so a later attempt sends less than the first.
-    The largest time seen lately is that of first attempts. Callers differ in their
-    patience, so a time that is less only by a share of ``PATIENCE_SPREAD`` counts as
-    that of a first attempt. For example, after deadlines of 1500 a request with 1300
-    is new, and one with 1000 is 500 ms old.
+    A caller sends its remaining time, which is shorter in a retry than in the first
+    attempt. The largest recent remaining time is taken as that of first attempts.
+    Callers use different timeouts, so a remaining time within ``DEADLINE_TOLERANCE``
+    of the largest counts as a first attempt. For example, if the largest is 1500 ms, a
+    request with 1300 ms is new, and one with 1000 ms is 500 ms old.
     """
 
-    __slots__ = ("_largest",)
+    __slots__ = ("_maxima",)
 
     def __init__(self) -> None:
-        self._largest: deque[tuple[Instant, float]] = deque()
+        self._maxima: deque[tuple[Instant, float]] = deque()
 
     def observe(self, left_ms: float, now: Instant) -> float:
-        """Take the time that a request has left; return its age in ms."""
-        largest = self._largest
-        while largest and largest[-1][1] <= left_ms:
-            largest.pop()
-        largest.append((now, left_ms))
-        oldest = add_ms(now, -DEADLINE_MEMORY_MS)
-        while largest[0][0] < oldest:
-            largest.popleft()
-        first_ms = largest[0][1]
+        """Record the remaining time of a request; return its age in ms."""
+        maxima = self._maxima
+        while maxima and maxima[-1][1] <= left_ms:
+            maxima.pop()
+        maxima.append((now, left_ms))
+        oldest = add_ms(now, -DEADLINE_WINDOW_MS)
+        while maxima[0][0] < oldest:
+            maxima.popleft()
+        first_ms = maxima[0][1]
         return (
-            0.0 if left_ms >= (1 - PATIENCE_SPREAD) * first_ms else first_ms - left_ms
+            0.0
+            if left_ms >= (1 - DEADLINE_TOLERANCE) * first_ms
+            else first_ms - left_ms
         )
 
 
 class Verdict(Enum):
-    """What becomes of a request for which a server was found."""
+    """The admission decision for a request and the server selected for it."""
 
     SEND = "send"
     SEND_LATE = "send_late"
-    """It can't be in time, but the server has room to spare."""
+    """The response will be late, but the server has spare capacity."""
 
     REFUSE = "refuse"
 
 
 @dataclass(frozen=True, slots=True)
 class Prospect:
-    """One request at the best server that was found for it.
+    """A request with the best server that was found for it.
 
-    ``load`` is None for a server that doesn't tell its load.
+    ``load`` is None for a server that doesn't report its load.
     """
 
     work_ms: float
@@ -106,41 +108,41 @@
 
 
 def acceptable_slowdown(work_ms: float, left_to_target_ms: float) -> float:
-    """Return the greatest slowdown with which a request is still in time."""
+    """Return the greatest slowdown at which a request still meets its target."""
     return left_to_target_ms / (SPREAD_FACTOR * max(work_ms, 1.0))
 
 
-def judge(prospect: Prospect) -> Verdict:
-    """Decide whether a request is sent to the server that was found."""
-    load = prospect.load
+def judge(placement: Prospect) -> Verdict:
+    """Decide whether a request is sent to the selected server."""
+    load = placement.load
     if load is None:
         return Verdict.SEND
-    limit = acceptable_slowdown(prospect.work_ms, prospect.left_to_target_ms)
-    if prospect.slowdown <= limit:
+    limit = acceptable_slowdown(placement.work_ms, placement.left_to_target_ms)
+    if placement.slowdown <= limit:
         return Verdict.SEND
-    if prospect.work_ms * prospect.slowdown > prospect.left_to_deadline_ms:
+    if placement.work_ms * placement.slowdown > placement.left_to_deadline_ms:
         return Verdict.REFUSE
     n_busy = load.n_running + load.n_waiting + 1
-    if n_busy <= SPARE_SHARE * load.n_slots:
+    if n_busy <= LATE_MAX_BUSY_SHARE * load.n_slots:
         return Verdict.SEND_LATE
     return Verdict.REFUSE
 
 
 def quick_retry_after_ms(position: float) -> float:
-    """Return when to come back after servers refused a request though they had room.
+    """Return the retry delay after servers with spare capacity refused a request.
 
-    Such a refusal is luck, and another attempt may still be in time.
+    Such a refusal is due to chance, and another attempt may still be in time.
     """
-    first, last = QUICK_RETRY_AFTER_MS
+    first, last = SHORT_RETRY_AFTER_MS
     return first + (last - first) * position
 
 
 def retry_after_ms(left_to_deadline_ms: float, position: float) -> float:
-    """Return when a refused caller should come back.
+    """Return the delay after which a refused caller should retry.
 
-    ``position`` between 0 and 1 spreads the callers, so that they don't return
-    together. The time grows with what a caller has left: overload lasts longer than
-    the shortest of these times.
+    ``position``, between 0 and 1, spreads the retries of different callers over time.
+    The delay grows with the caller's remaining time, since overload lasts longer than
+    the shortest delay.
     """
     first, last = RETRY_AFTER_SHARES
     share = first + (last - first) * position
--- a/pollenfold/core/retries.py
+++ b/pollenfold/core/retries.py
@@ -1,4 +1,4 @@
-"""Retries and hedges: what may be sent again, and how often."""
+"""Rules and budgets for retries and hedged requests."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 def may_retry(outcome: AttemptOutcome, request_class: RequestClass) -> bool:
-    """Return whether another attempt can't make an action run twice.
+    """Return whether a retry can't execute a non-idempotent request twice.
 
-    A non-idempotent request is sent again only when it provably never started.
+    A non-idempotent request is retried only if it provably never started.
     """
     if outcome in (AttemptOutcome.NOT_STARTED, AttemptOutcome.UNREACHABLE):
         return True
@@ -19,11 +19,11 @@
 
 
 class RatioBudget:
-    """Permits for extra requests as a share of the calls.
+    """Limits extra requests to a ratio of the calls.
 
-    Each call adds ``ratio`` of a permit, up to ``burst`` permits. For example, a
-    ratio of 0.1 lets one call in ten be sent again, so that retries can't multiply
-    the load of an overloaded service.
+    Each call adds ``ratio`` permits, up to ``burst`` permits in total. For example, a
+    ratio of 0.1 lets one call in ten be retried, so retries can't multiply the load
+    of an overloaded service.
     """
 
     __slots__ = ("ratio", "_burst", "_n_permits")
@@ -38,7 +38,7 @@
         self._n_permits = min(self._burst, self._n_permits + self.ratio)
 
     def withdraw(self) -> bool:
-        """Take a permit for one extra request; return False when there is none."""
+        """Use a permit for one extra request, or return False if there is none."""
         if self._n_permits < 1.0:
             return False
         self._n_permits -= 1.0
@@ -52,10 +52,11 @@
 class QuantileEstimate:
     """A running estimate of one quantile of a stream of latencies in ms.
 
-    A latency above the estimate moves it up by the share ``quantile`` of a step, one
-    below moves it down by the rest, so it settles where that share lies below. The
-    step is a twentieth of the estimate. For example, ``QuantileEstimate(0.95)``
-    gives the delay after which one call in twenty is hedged.
+    A latency above the estimate raises it by ``quantile`` times the step, and any other
+    lowers it by ``1 - quantile`` times the step, so it converges to the value below
+    which that share of latencies lies. The step is a twentieth of the estimate. For
+    example, ``QuantileEstimate(0.95)`` gives the delay after which one call in twenty
+    is hedged.
     """
 
     __slots__ = ("_quantile", "value_ms")
@@ -65,7 +66,7 @@
         self.value_ms = initial_ms
 
     def observe(self, latency_ms: float) -> None:
-        """Count one latency."""
+        """Update the estimate with one latency."""
         step_ms = 0.05 * self.value_ms + 0.01
         if latency_ms > self.value_ms:
             self.value_ms += step_ms * self._quantile
--- a/pollenfold/core/routes.py
+++ b/pollenfold/core/routes.py
@@ -1,6 +1,6 @@
-"""Routes by host and path prefix, and the whole configuration that holds them.
+"""The routing configuration, with routes by host and path prefix.
 
-A whole configuration replaces the one before it; the highest version is in force.
+A configuration replaces the previous one as a whole; the highest version is in force.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What an operator decided for the requests of one host and path prefix.
+    """The configuration for requests of one host and path prefix.
 
-    ``timeout_ms`` is the longest time to keep a caller waiting; None means that only
-    the caller's deadline counts. Priority 0 is the most urgent.
+    ``timeout_ms`` is the maximum time until a response; None means that only the
+    caller's deadline applies. Priority 0 is the highest.
     """
 
     name: str
@@ -36,9 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendService:
-    """What an operator says of the backend servers of one service.
+    """The configuration of the backend servers of one service.
 
-    A cold endpoint bears ``warmup_rate_per_s`` requests a second for ``warmup_ms``.
+    A cold endpoint receives up to ``warmup_rate_per_s`` requests per second for
+    ``warmup_ms``.
     """
 
     name: str
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Size and time limits for the connections of callers."""
 
     head_bytes: int = 16 * 1024
     body_bytes: int = 1 << 20
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingConfiguration:
-    """Routes by lower-case host, each host's routes by falling prefix length."""
+    """Routes by lower-case host, ordered by falling prefix length, and services."""
 
     version: int = 0
     hosts: dict[str, tuple[Route, ...]] = field(default_factory=dict)
@@ -69,7 +70,7 @@
 
 
 def sorted_routes(routes: list[Route]) -> tuple[Route, ...]:
-    """Return the routes of one host in the order in which they are tried."""
+    """Return the routes of one host in matching order."""
     return tuple(sorted(routes, key=lambda route: -len(route.path_prefix)))
 
 
@@ -78,7 +79,7 @@
 ) -> Route | None:
     """Return the route with the longest prefix of the path, or None.
 
-    The host is compared without its port and without case. For example, the host
+    The host is compared case-insensitively and without its port. For example, the host
     ``A.example:80`` and the path ``/x/1`` match the route ``/x/`` of ``a.example``.
     """
     name = host.rpartition(":")[0] if ":" in host else host
@@ -89,11 +90,11 @@
 
 
 class WeightedSplit:
-    """Distributes the requests of each route over its parts by weight.
+    """Distributes the requests of each route over its services by weight.
 
-    Smooth weighted round robin keeps the shares exact over short spans as well, so
-    that a check of the shares over few requests holds. The state of a route is kept
-    by its name and starts anew when its parts change.
+    Smooth weighted round robin keeps the shares exact over short spans too, so a check
+    of the shares over few requests holds. The credits of a route are kept under its
+    name and reset when its services or weights change.
     """
 
     def __init__(self) -> None:
@@ -103,11 +104,11 @@
         """Return the service for the next request of the route."""
         if len(route.parts) == 1:
             return route.parts[0].service
-        known = self._credits.get(route.name)
-        if known is None or known[0] != route.parts:
-            known = (route.parts, [0.0] * len(route.parts))
-            self._credits[route.name] = known
-        parts, credits = known
+        cached = self._credits.get(route.name)
+        if cached is None or cached[0] != route.parts:
+            cached = (route.parts, [0.0] * len(route.parts))
+            self._credits[route.name] = cached
+        parts, credits = cached
         for position, part in enumerate(parts):
             credits[position] += part.weight
         best = max(range(len(parts)), key=credits.__getitem__)
@@ -115,5 +116,5 @@
         return parts[best].service
 
     def retain(self, names: set[str]) -> None:
-        """Forget the routes that the configuration no longer has."""
+        """Remove the credits of routes that are not among ``names``."""
         self._credits = {k: v for k, v in self._credits.items() if k in names}
--- a/pollenfold/core/routing.py
+++ b/pollenfold/core/routing.py
@@ -1,4 +1,4 @@
-"""Selection of a backend server for one request.
+"""Selection policies, which choose the backend server for a request.
 
 Every policy is a plain function of candidates, a random number generator and the
 time, so the daemon, the tests and the benchmark run the same code.
@@ -14,26 +14,26 @@
 from .clock import Instant
 
 REPORT_HALF_LIFE_MS = 50.0
-"""A load report loses half of its weight in this time, since load shifts in ms."""
+"""The weight of a load report halves in this time, since load changes within ms."""
 
 REPORT_LIFETIME_MS = 8 * REPORT_HALF_LIFE_MS
-"""An older report is ignored: even a vanishing weight would decide between otherwise
-equal candidates."""
+"""An older report is ignored; even a tiny weight would decide between otherwise equal
+candidates."""
 
-FADE_AFTER_MS = 200.0
-FADE_HALF_LIFE_MS = 1000.0
+DECAY_AFTER_MS = 200.0
+DECAY_HALF_LIFE_MS = 1000.0
 
 N_CHOICES = 3
 
 
 @dataclass(slots=True, eq=False)
 class Candidate:
-    """What one entry knows of one endpoint.
+    """The state of one endpoint as one entry observes it.
 
     ``n_in_flight`` counts this entry's own requests. ``ewma_ms`` is a peak-sensitive
-    average latency. ``reported_in_flight`` is the load over all entries that the
-    server reported at ``reported_at``. ``limit`` is the concurrency that this entry
-    may have there now.
+    average latency. ``reported_in_flight`` is the load from all entries that the
+    server reported at ``reported_at``. ``limit`` is the number of concurrent requests
+    that this entry may currently have there.
     """
 
     key: str
@@ -49,7 +49,7 @@
 
     @property
     def has_room(self) -> bool:
-        """Whether this entry may send one more request there."""
+        """Whether this entry may send one more request to the endpoint."""
         return self.n_in_flight < self.limit
 
 
@@ -59,12 +59,12 @@
 def random_choice(
     candidates: Sequence[Candidate], rng: random.Random, now: Instant
 ) -> Candidate:
-    """Choose uniformly."""
+    """Choose uniformly at random."""
     return candidates[int(rng.random() * len(candidates))]
 
 
 def round_robin() -> Policy:
-    """Return a policy that takes the candidates in turn."""
+    """Return a policy that cycles through the candidates."""
     turns = count()
 
     def choose(
@@ -78,7 +78,7 @@
 def least_in_flight(
     candidates: Sequence[Candidate], rng: random.Random, now: Instant
 ) -> Candidate:
-    """Choose the fewest own requests in flight, at random among equals."""
+    """Choose the fewest requests in flight from this entry, at random among ties."""
     fewest = min(candidate.n_in_flight for candidate in candidates)
     return rng.choice([c for c in candidates if c.n_in_flight == fewest])
 
@@ -86,7 +86,7 @@
 def two_choices_ewma(
     candidates: Sequence[Candidate], rng: random.Random, now: Instant
 ) -> Candidate:
-    """Draw two and choose the lower product of latency and requests in flight."""
+    """Sample two and choose the lower product of latency and requests in flight."""
     first = random_choice(candidates, rng, now)
     second = random_choice(candidates, rng, now)
     return min(first, second, key=_expected_ms)
@@ -99,7 +99,7 @@
 def probe_score(
     candidates: Sequence[Candidate], rng: random.Random, now: Instant
 ) -> Candidate:
-    """Draw three and choose by own requests in flight, latency and aged reports."""
+    """Sample three and choose the one with the lowest ``score``."""
     n_candidates = len(candidates)
     best = candidates[int(rng.random() * n_candidates)]
     best_score = score(best, now)
@@ -114,38 +114,39 @@
 def score(candidate: Candidate, now: Instant) -> float:
     """Return the expected latency in ms of one more request; lower is better.
 
-    The reported load counts with a weight that halves every 50 ms. It never counts
-    for less than this entry's own requests, so a server that reports too little
-    gains nothing over what the entry sees itself.
+    The reported load has a weight that halves every 50 ms. Only the excess over this
+    entry's own requests counts, so a server gains nothing by reporting too low a load.
     """
     load = candidate.n_in_flight + 1.0
     report_age_ms = now - candidate.reported_at
     if report_age_ms < REPORT_LIFETIME_MS:
-        excess = max(0.0, candidate.reported_in_flight - candidate.n_in_flight)
-        trust = 0.5 ** (report_age_ms / REPORT_HALF_LIFE_MS)
-        load += excess * trust / candidate.slots
-    return load * (_present_ewma_ms(candidate, now) + 0.01)
+        excess_in_flight = max(
+            0.0, candidate.reported_in_flight - candidate.n_in_flight
+        )
+        weight = 0.5 ** (report_age_ms / REPORT_HALF_LIFE_MS)
+        load += excess_in_flight * weight / candidate.slots
+    return load * (_decayed_ewma_ms(candidate, now) + 0.01)
 
 
-def _present_ewma_ms(candidate: Candidate, now: Instant) -> float:
-    """Return the average latency, faded for a candidate that gets no requests.
+def _decayed_ewma_ms(candidate: Candidate, now: Instant) -> float:
+    """Return the average latency, decayed for a candidate without recent requests.
 
-    Without fading one slow response could keep a server out for good: it is never
-    chosen, so its average never falls.
+    Without the decay one slow response could exclude a server permanently: it would
+    never be chosen, so its average would never fall.
     """
     idle_ms = now - candidate.observed_at
-    if idle_ms < FADE_AFTER_MS:
+    if idle_ms < DECAY_AFTER_MS:
         return candidate.ewma_ms
-    return float(candidate.ewma_ms * 0.5 ** (idle_ms / FADE_HALF_LIFE_MS))
+    return float(candidate.ewma_ms * 0.5 ** (idle_ms / DECAY_HALF_LIFE_MS))
 
 
 def prefer_zone(candidates: Sequence[Candidate], zone: str) -> Sequence[Candidate]:
-    """Return the candidates to choose from: the own zone while it has room.
+    """Return the candidates of the local zone while it has spare capacity, else all.
 
-    Requests spill over to the other zones when every endpoint of the own zone has as
-    many own requests as slots, before any of them has to queue. A cold endpoint of
-    another zone belongs to the choice as well: no other entry may send to it, so it
-    would stay cold as long as the own zone has room.
+    Requests spill over to other zones when every local endpoint has as many requests
+    of this entry as slots, before any of them has to queue. Cold endpoints of other
+    zones are always included: no other entry may send to them, so they would stay
+    cold as long as the local zone has spare capacity.
     """
     local = [c for c in candidates if c.zone == zone and c.n_in_flight < c.slots]
     if not local:
@@ -157,18 +158,18 @@
 
 
 def observe_latency(candidate: Candidate, latency_ms: float, now: Instant) -> None:
-    """Update the average latency: a rise counts at once, a fall slowly."""
-    present_ms = _present_ewma_ms(candidate, now)
-    if latency_ms > present_ms:
+    """Update the average latency, which rises immediately and falls slowly."""
+    decayed_ms = _decayed_ewma_ms(candidate, now)
+    if latency_ms > decayed_ms:
         candidate.ewma_ms = latency_ms
     else:
-        candidate.ewma_ms = present_ms + PEAK_DECAY * (latency_ms - present_ms)
+        candidate.ewma_ms = decayed_ms + PEAK_DECAY * (latency_ms - decayed_ms)
     candidate.observed_at = now
 
 
 def observe_failure(candidate: Candidate, timeout_ms: float, now: Instant) -> None:
-    """Count a failed call as one that took the whole timeout.
+    """Count a failed call with the full timeout as its latency.
 
-    Otherwise a server that fails fast would look quick and attract load.
+    Otherwise a server that fails fast would appear fast and attract load.
     """
     observe_latency(candidate, timeout_ms, now)
--- a/pollenfold/tests/core/test_overload.py
+++ b/pollenfold/tests/core/test_overload.py
@@ -1,4 +1,4 @@
-"""Admission while a service has less room than its callers need."""
+"""Tests of admission control while the demand exceeds the capacity."""
 
 import random
 
@@ -16,52 +16,52 @@
 WORK_MS = 70.0
 
 
-def prospect(load, left_ms=TARGET_MS, deadline_ms=1500.0):
+def make_placement(load, left_ms=TARGET_MS, deadline_ms=1500.0):
     return Prospect(WORK_MS, expected_slowdown(load), load, left_ms, deadline_ms)
 
 
-def test_request_in_time_is_sent():
-    """Guards against refusals while there is room."""
-    assert judge(prospect(ServerLoad(2, 0, 6))) is Verdict.SEND
+def test_request_that_meets_its_target_is_sent():
+    """Guards against refusals while there is spare capacity."""
+    assert judge(make_placement(ServerLoad(2, 0, 6))) is Verdict.SEND
 
 
 def test_request_that_would_wait_too_long_is_refused():
-    """Guards against queues in which every request comes late."""
-    assert judge(prospect(ServerLoad(6, 9, 6))) is Verdict.REFUSE
+    """Guards against queues in which every response is late."""
+    assert judge(make_placement(ServerLoad(6, 9, 6))) is Verdict.REFUSE
 
 
-def test_late_request_takes_room_that_nobody_needs():
-    """Guards against callers that were refused once and are never served."""
-    late = prospect(ServerLoad(1, 0, 6), left_ms=-300.0)
+def test_late_request_uses_spare_capacity():
+    """Guards against callers that are never served after a first refusal."""
+    late = make_placement(ServerLoad(1, 0, 6), left_ms=-300.0)
     assert judge(late) is Verdict.SEND_LATE
-    crowded = prospect(ServerLoad(5, 0, 6), left_ms=-300.0)
-    assert judge(crowded) is Verdict.REFUSE
+    overloaded = make_placement(ServerLoad(5, 0, 6), left_ms=-300.0)
+    assert judge(overloaded) is Verdict.REFUSE
 
 
 def test_request_that_misses_its_deadline_is_refused():
-    """Guards against work whose response nobody waits for."""
-    slow = prospect(ServerLoad(0, 0, 6, slowdown=5.0), deadline_ms=300.0)
+    """Guards against work whose caller has given up before the response."""
+    slow = make_placement(ServerLoad(0, 0, 6, slowdown=5.0), deadline_ms=300.0)
     assert judge(slow) is Verdict.REFUSE
 
 
-def test_server_without_report_is_always_sent_to():
+def test_request_to_a_server_without_report_is_sent():
     """Guards against a service without load reports that gets no requests."""
     unknown = Prospect(WORK_MS, 1.0, None, -1.0, 100.0)
     assert judge(unknown) is Verdict.SEND
 
 
 def test_work_estimate_discounts_the_slowdown():
-    """Guards against an estimate that rises with the load and refuses everything."""
+    """Guards against a work estimate that rises with load until all is refused."""
     estimate = WorkEstimate(TARGET_MS)
     for _ in range(200):
         estimate.observe(350.0, 5.0)
     assert 65.0 < estimate.get() < 75.0
 
 
-def test_age_of_a_caller_that_comes_again():
-    """Guards against callers with a little less patience that count as late.
+def test_age_of_a_caller_that_retries():
+    """Guards against callers with slightly shorter timeouts that count as retries.
 
-    On a calm day a third of the callers was refused for that.
+    For this reason a third of the callers was refused on a day without overload.
     """
     age = CallerAge()
     rng = random.Random(1)
@@ -71,25 +71,25 @@
 
 
 def test_age_forgets_an_earlier_deadline():
-    """Guards against new, shorter deadlines that count as late for ever."""
+    """Guards against new, shorter deadlines that permanently count as retries."""
     age = CallerAge()
     age.observe(5000.0, 0.0)
     age.observe(1000.0, 1.0)
     assert age.observe(1000.0, 60_000.0) == 0.0
 
 
-def test_refused_callers_return_spread_out():
-    """Guards against callers that all come back at the same moment."""
-    times = {retry_after_ms(1200.0, position / 10) for position in range(11)}
-    assert len(times) == 11
-    assert min(times) >= 100.0
-    assert max(times) <= 1200.0 / 3
+def test_retries_of_refused_callers_are_spread():
+    """Guards against refused callers that all retry at the same moment."""
+    delays_ms = {retry_after_ms(1200.0, position / 10) for position in range(11)}
+    assert len(delays_ms) == 11
+    assert min(delays_ms) >= 100.0
+    assert max(delays_ms) <= 1200.0 / 3
 
 
 def simulate(is_admitting, seed=5):
-    """Return the share in time of one server at twice its capacity.
+    """Return the share of requests in time at one server under twice its capacity.
 
-    Requests of 70 ms arrive every 6 ms at 6 slots with a queue; the server tells its
+    Requests of 70 ms arrive every 6 ms at 6 slots with a queue; the server reports its
     load without delay.
     """
     rng = random.Random(seed)
@@ -101,7 +101,7 @@
         n_waiting = max(0, round((min(slots) - now) / (WORK_MS / 6)))
         n_requests += 1
         load = ServerLoad(n_running, n_waiting, 6)
-        if is_admitting and judge(prospect(load)) is Verdict.REFUSE:
+        if is_admitting and judge(make_placement(load)) is Verdict.REFUSE:
             continue
         if n_waiting >= 12:
             continue
@@ -112,10 +112,10 @@
     return n_in_time / n_requests
 
 
-def test_overloaded_server_answers_more_in_time():
-    """Guards against an overload in which waiting makes everything late.
+def test_overloaded_server_responds_to_more_requests_in_time():
+    """Guards against an overload in which queueing makes every response late.
 
-    Nine tenths of what the slots can do at all must come in time.
+    Responses in time must reach nine tenths of the capacity of the slots.
     """
     capacity_share = (6 / WORK_MS) / (1 / 6.0)
     assert simulate(True) > 0.9 * capacity_share
--- a/pollenfold/tests/core/test_retries.py
+++ b/pollenfold/tests/core/test_retries.py
@@ -1,4 +1,4 @@
-"""What may be sent again, and how often."""
+"""Tests of the rules and budgets for retries and hedged requests."""
 
 import random
 
@@ -27,7 +27,7 @@
 def test_non_idempotent_retry_only_when_never_started(
     outcome, idempotent, non_idempotent
 ):
-    """Guards against an action that is sent again after it may have started."""
+    """Guards against retrying a non-idempotent request that may have started."""
     assert may_retry(outcome, RequestClass.IDEMPOTENT) is idempotent
     assert may_retry(outcome, RequestClass.NON_IDEMPOTENT) is non_idempotent
 
@@ -42,8 +42,8 @@
     assert n_extra <= 5 + 0.1 * 1000
 
 
-def test_budget_permit_given_back_is_not_lost():
-    """Guards against a hedge budget that runs dry without any hedge sent."""
+def test_returned_budget_permit_is_not_lost():
+    """Guards against a hedge budget that is exhausted without any hedge sent."""
     budget = RatioBudget(0.0, burst=1.0)
     assert budget.withdraw()
     assert not budget.withdraw()
@@ -51,7 +51,7 @@
     assert budget.withdraw()
 
 
-def test_quantile_settles_near_the_share_asked_for():
+def test_quantile_converges_to_the_requested_share():
     """Guards against a hedge delay at which most calls would be hedged."""
     rng = random.Random(1)
     estimate = QuantileEstimate(0.95, initial_ms=500.0)
--- a/pollenfold/tests/core/test_routing.py
+++ b/pollenfold/tests/core/test_routing.py
@@ -1,4 +1,4 @@
-"""Selection policies with stale and misleading reports."""
+"""Tests of selection policies with stale and misleading load reports."""
 
 import random
 
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_policy_chooses_a_candidate(policy):
-    """Guards against a policy that fails with one candidate or leaves the list."""
+    """Guards against a policy that fails for one candidate or returns none of them."""
     rng = random.Random(1)
     for n_candidates in (1, 2, 20):
         candidates = make_candidates(n_candidates)
@@ -57,14 +57,14 @@
 
 @pytest.mark.parametrize("policy", [two_choices_ewma, probe_score])
 def test_slow_server_gets_less(policy):
-    """Guards against a slow server that keeps its full share."""
+    """Guards against a slow server that keeps its full share of the load."""
     candidates = make_candidates(10, ewma_ms=10.0)
     candidates[0].ewma_ms = 200.0
     assert share_of_first(policy, candidates) < 0.02
 
 
 def test_busy_report_counts_while_it_is_fresh():
-    """Guards against a choice that ignores, or never forgets, a load report."""
+    """Guards against a policy that ignores a load report, or never discards it."""
     candidates = make_candidates(10, ewma_ms=10.0)
     candidates[0].reported_in_flight = 12.0
     candidates[0].reported_at = NOW
@@ -73,37 +73,37 @@
     assert 0.05 < share_of_first(probe_score, candidates) < 0.2
 
 
-def test_server_that_reports_too_little_gains_nothing():
+def test_server_that_reports_too_low_a_load_gains_nothing():
     """Guards against a misleading report that attracts load."""
-    honest, liar = make_candidates(2, ewma_ms=10.0, n_in_flight=4)
-    liar.reported_in_flight = 0.0
-    liar.reported_at = NOW
-    assert score(liar, NOW) == score(honest, NOW)
+    unreported, underreporting = make_candidates(2, ewma_ms=10.0, n_in_flight=4)
+    underreporting.reported_in_flight = 0.0
+    underreporting.reported_at = NOW
+    assert score(underreporting, NOW) == score(unreported, NOW)
 
 
 @given(st.integers(0, 20), st.integers(0, 10**6), st.sampled_from([0, 10, 1000]))
 def test_no_report_improves_the_rank(n_in_flight, reported, age_ms):
-    """Guards against a lying server that attracts load."""
-    silent, reporting = make_candidates(2, ewma_ms=10.0, n_in_flight=n_in_flight)
+    """Guards against a server that attracts load with a false report."""
+    unreported, reporting = make_candidates(2, ewma_ms=10.0, n_in_flight=n_in_flight)
     reporting.reported_in_flight = float(reported)
     reporting.reported_at = Instant(NOW - age_ms)
-    assert score(reporting, NOW) >= score(silent, NOW)
+    assert score(reporting, NOW) >= score(unreported, NOW)
 
 
-def test_weight_of_a_report_falls_with_its_age():
-    """Guards against a stale report that counts like a new one."""
+def test_weight_of_a_report_decays_with_its_age():
+    """Guards against a stale report that has the weight of a new one."""
     (candidate,) = make_candidates(1, ewma_ms=10.0)
-    usual = score(candidate, NOW)
+    base_score = score(candidate, NOW)
     candidate.reported_in_flight = float(candidate.slots)
     loads = []
     for n_half_lives in range(3):
         candidate.reported_at = Instant(NOW - n_half_lives * REPORT_HALF_LIFE_MS)
-        loads.append(score(candidate, NOW) / usual - 1.0)
+        loads.append(score(candidate, NOW) / base_score - 1.0)
     assert loads == pytest.approx([1.0, 0.5, 0.25])
 
 
 def test_requests_spill_to_other_zones_before_they_queue():
-    """Guards against queueing in the own zone while another zone is idle."""
+    """Guards against queueing in the local zone while another zone is idle."""
     local, remote = make_candidates(2)
     remote.zone = "b"
     assert prefer_zone([local, remote], "a") == [local]
@@ -111,7 +111,7 @@
     assert prefer_zone([local, remote], "a") == [local, remote]
 
 
-def test_latency_rises_at_once_and_falls_slowly():
+def test_latency_rises_immediately_and_falls_slowly():
     """Guards against an average that hides a sudden slow-down."""
     (candidate,) = make_candidates(1, ewma_ms=10.0)
     observe_latency(candidate, 100.0, NOW)
@@ -121,7 +121,7 @@
 
 
 def test_server_with_one_slow_response_is_tried_again():
-    """Guards against a server that gets no request for ever after one slow response."""
+    """Guards against permanently excluding a server after one slow response."""
     candidates = make_candidates(10)
     for candidate in candidates:
         observe_latency(candidate, 10.0, NOW)
@@ -136,14 +136,14 @@
 
 
 def test_failure_counts_as_a_timeout():
-    """Guards against a server that fails fast and looks quick."""
+    """Guards against a server that appears fast because it fails fast."""
     candidates = make_candidates(10, ewma_ms=10.0)
     observe_failure(candidates[0], 100.0, NOW)
     assert share_of_first(probe_score, candidates) < 0.02
 
 
 def test_cold_endpoint_of_another_zone_is_chosen():
-    """Guards against an endpoint that stays cold while the own zone has room."""
+    """Guards against an endpoint that stays cold while local ones have capacity."""
     local, remote, cold = make_candidates(3)
     remote.zone = cold.zone = "b"
     cold.is_warming = True
