--- a/pollenfold/core/errors.py
+++ b/pollenfold/core/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the answer that each one gives."""
+"""The closed list of error kinds, and the error response for each of them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class RunState(Enum):
-    """Whether the request of an error answer ran on a backend server."""
+    """Whether the request of an error response was executed by a backend server."""
 
     DID_NOT_RUN = "did_not_run"
     OUTCOME_UNKNOWN = "outcome_unknown"
@@ -15,7 +15,7 @@
 
 
 class ErrorKind(Enum):
-    """Every way in which the system refuses or fails."""
+    """All kinds of refusals and failures."""
 
     BAD_REQUEST = "bad_request"
     HEAD_TOO_LARGE = "head_too_large"
@@ -51,9 +51,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorAnswer:
-    """What a caller or an operator is told about one error kind.
+    """The response to a caller or an operator for one error kind.
 
-    ``retry_after_s`` is the time in seconds to come back, or None when a resend of
+    ``retry_after_s`` is the delay in seconds before a retry, or None if a retry of
     the same request can't succeed.
     """
 
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """One failure: its kind, what was expected and what came instead."""
+    """A failure with its kind and, in ``detail``, the expected and the actual value."""
 
     kind: ErrorKind
     detail: str = ""
@@ -111,22 +111,22 @@
         504, _DID_NOT_RUN, 1, "the deadline can't be met"
     ),
     ErrorKind.NO_BACKEND_SERVER: ErrorAnswer(
-        503, _DID_NOT_RUN, 1, "no backend server can take the request"
+        503, _DID_NOT_RUN, 1, "no backend server can accept the request"
     ),
     ErrorKind.BACKEND_REFUSED: ErrorAnswer(
         503, _DID_NOT_RUN, 1, "the backend servers did not start the request"
     ),
     ErrorKind.BACKEND_FAILED: ErrorAnswer(
-        502, _UNKNOWN, 1, "the backend server failed before a whole answer"
+        502, _UNKNOWN, 1, "the backend server failed before a complete response"
     ),
     ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(
-        502, _UNKNOWN, None, "the request may have run; it is not run again"
+        502, _UNKNOWN, None, "the request may have been executed; it is not retried"
     ),
     ErrorKind.IN_PROGRESS: ErrorAnswer(
         409, _UNKNOWN, 1, "an earlier request with this key is in progress"
     ),
     ErrorKind.LEDGER_UNAVAILABLE: ErrorAnswer(
-        503, _DID_NOT_RUN, 1, "no majority of the ledger answers"
+        503, _DID_NOT_RUN, 1, "no majority of the ledger responds"
     ),
     ErrorKind.NO_QUORUM: ErrorAnswer(
         503, _UNKNOWN, 1, "no majority of the control replicas confirmed the change"
@@ -136,10 +136,10 @@
     ),
     ErrorKind.NOT_READY: ErrorAnswer(503, _DID_NOT_RUN, 1, "still starting"),
     ErrorKind.FLEET_FULL: ErrorAnswer(
-        503, _DID_NOT_RUN, 2, "the fleet has its greatest number of entries"
+        503, _DID_NOT_RUN, 2, "the fleet has reached its maximum number of entries"
     ),
     ErrorKind.BAD_FRAME: ErrorAnswer(400, _DID_NOT_RUN, None, "malformed frame"),
-    ErrorKind.UNREACHABLE: ErrorAnswer(503, _UNKNOWN, 1, "no answer from the peer"),
+    ErrorKind.UNREACHABLE: ErrorAnswer(503, _UNKNOWN, 1, "no response from the peer"),
     ErrorKind.STORAGE_FAILED: ErrorAnswer(
         503, _UNKNOWN, 1, "the data folder can't be written"
     ),
--- a/pollenfold/core/news_source.py
+++ b/pollenfold/core/news_source.py
@@ -1,8 +1,9 @@
-"""Which control replica tells an entry the news of endpoints and of the fleet.
+"""Choice of the control replica that sends an entry the endpoint and fleet updates.
 
-Every replica tells every entry the index of its orders. The news themselves, which
-are most of the bytes, come from one replica, preferably of the entry's own zone: told
-by all of them they would cross zones with the product of entries and replicas.
+Every replica sends every entry the index of its replicated state. The updates,
+which are most of the bytes, come from one replica only, preferably in the entry's own
+zone. If all replicas sent them, the cross-zone traffic would grow with the product of
+entries and replicas.
 """
 
 from __future__ import annotations
@@ -17,24 +18,25 @@
 class Source:
     """A control replica whose feed is open.
 
-    ``is_cut_off`` means that for some time it heard no majority of the others.
+    ``is_partitioned`` means that for some time it has not been in contact with a
+    majority of the other replicas.
     """
 
     host: str
     zone: str
-    is_cut_off: bool
+    is_partitioned: bool
 
 
 def choose_source(sources: Iterable[Source], entry_id: str, zone: str) -> str | None:
-    """Return the host of the replica to take news from, or None without any.
+    """Return the host of the replica to receive updates from, or None without one.
 
-    A replica that is cut off misses news, so it comes last; then one of the own zone
-    comes first. A hash spreads the entries over the rest.
+    A partitioned replica misses updates, so it ranks last. Otherwise replicas in the
+    entry's own zone rank first, and a hash spreads the entries over equal replicas.
     """
 
     def rank(source: Source) -> tuple[bool, bool, int]:
         digest = xxhash.xxh3_64_intdigest(f"{entry_id} {source.host}".encode())
-        return source.is_cut_off, source.zone != zone, digest
+        return source.is_partitioned, source.zone != zone, digest
 
     best = min(sources, key=rank, default=None)
     return None if best is None else best.host
--- a/pollenfold/core/outcomes.py
+++ b/pollenfold/core/outcomes.py
@@ -1,4 +1,4 @@
-"""How an attempt at a backend server ends."""
+"""Outcomes of attempts at backend servers."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class AttemptOutcome(Enum):
-    """How one attempt at a backend server ended."""
+    """The outcome of one attempt at a backend server."""
 
     RESPONDED = "responded"
     SERVER_ERROR = "server_error"
-    """A whole response with status 500, 502, 503 or 504."""
+    """A complete response with status 500, 502, 503 or 504."""
 
     NOT_STARTED = "not_started"
-    """The server said that it did not start, or nothing was tried for want of time or
-    of a connection under the limit."""
+    """The server reported that it didn't start the request, or the request wasn't sent
+    because no time was left or the connection limit was reached."""
 
     UNREACHABLE = "unreachable"
-    """No connection could be opened or used, and no byte was sent."""
+    """No connection could be opened or reused, and no byte was sent."""
 
     LOST = "lost"
-    """The request was sent at least in part and no whole response came."""
+    """The request was sent, at least in part, but no complete response came."""
 
     EXPIRED = "expired"
     """The deadline passed while the request was at the server."""
--- a/pollenfold/tests/core/test_outliers.py
+++ b/pollenfold/tests/core/test_outliers.py
@@ -1,14 +1,14 @@
-"""Ejection of endpoints: failures, fail-fast, slowness, limit and return."""
+"""Tests of outlier ejection: failures, slowness, the limit and reinstatement."""
 
 import pytest
 
 from pollenfold.core.clock import Instant
 from pollenfold.core.outliers import (
+    EJECT_AFTER_FAILURES,
+    EJECT_AFTER_FAST_FAILURES,
     EJECTION_MS,
-    FORGIVE_MS,
+    EJECTION_RESET_MS,
     MAX_EJECTION_MS,
-    N_FAILURES,
-    N_FAST_FAILURES,
     TRIAL_TIMEOUT_MS,
     OutlierDetector,
 )
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def detector():
-    """A detector that has seen each of ten endpoints respond in 10 ms."""
+    """A detector with 20 responses in 10 ms from each of ten endpoints."""
     detector = OutlierDetector()
     for ms in range(20):
         for key in KEYS:
@@ -31,7 +31,7 @@
     return detector
 
 
-def fail(detector, key, now, n=N_FAILURES, latency_ms=10.0):
+def fail(detector, key, now, n=EJECT_AFTER_FAILURES, latency_ms=10.0):
     for _ in range(n):
         detector.record(key, True, latency_ms, at(now))
 
@@ -39,30 +39,30 @@
 @pytest.mark.parametrize(
     "n, latency_ms, expected",
     [
-        (N_FAILURES - 1, 10.0, False),
-        (N_FAILURES, 10.0, True),
-        (N_FAST_FAILURES, 0.5, True),
-        (N_FAST_FAILURES - 1, 0.5, False),
+        (EJECT_AFTER_FAILURES - 1, 10.0, False),
+        (EJECT_AFTER_FAILURES, 10.0, True),
+        (EJECT_AFTER_FAST_FAILURES, 0.5, True),
+        (EJECT_AFTER_FAST_FAILURES - 1, 0.5, False),
     ],
 )
 def test_consecutive_failures_eject(detector, n, latency_ms, expected):
-    """Guards against a failing server that keeps its share, and against one that
-    fails fast and so attracts load."""
+    """Guards against a failing server that keeps its share of the load, and against one
+    that attracts load by failing fast."""
     fail(detector, BAD, 0, n, latency_ms)
     assert detector.is_ejected(BAD, at(0)) is expected
     assert not detector.is_ejected(KEYS[1], at(0))
 
 
-def test_server_that_fails_half_of_its_requests_is_ejected(detector):
-    """Guards against failures that never come in a row."""
+def test_server_that_fails_most_of_its_requests_is_ejected(detector):
+    """Guards against missing frequent failures that successes interrupt."""
     for n in range(40):
         detector.record(BAD, n % 5 != 0, 10.0, at(n))
     assert detector.is_ejected(BAD, at(40))
 
 
 def test_slow_server_is_ejected(detector):
-    """Guards against a server that is slow against its peers, not against all
-    servers when the whole service slows down."""
+    """Guards against keeping a server that is slow compared with its peers, and against
+    ejecting more servers when the whole service slows down."""
     for _ in range(30):
         detector.record(BAD, False, 100.0, at(0))
     assert detector.is_ejected(BAD, at(0))
@@ -74,8 +74,8 @@
 
 @pytest.mark.parametrize("share, expected", [(0.5, 5), (0.25, 2), (0.0, 0)])
 def test_share_ejected_is_limited(share, expected):
-    """Guards against an entry that ejects everything after its own failure, and
-    against an only endpoint that gets no work."""
+    """Guards against an entry that ejects all endpoints because of a fault of its own,
+    and against ejecting the only endpoint."""
     alone = OutlierDetector()
     fail(alone, BAD, 0, 100)
     assert not alone.is_ejected(BAD, at(0))
@@ -88,9 +88,9 @@
     assert sum(detector.is_ejected(key, at(1)) for key in KEYS) == expected
 
 
-def test_one_trial_request_decides_the_return(detector):
-    """Guards against a burst of requests to a server that may still be broken, and
-    against a trial whose result never comes."""
+def test_one_trial_request_decides_the_reinstatement(detector):
+    """Guards against a burst of requests to a server that may still be failing, and
+    against permanent exclusion when the result of a trial never arrives."""
     fail(detector, BAD, 0)
     assert detector.is_ejected(BAD, at(EJECTION_MS - 1))
     assert not detector.is_ejected(BAD, at(EJECTION_MS))
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize("is_failure, latency_ms", [(True, 10.0), (False, 500.0)])
 def test_ejection_time_grows(detector, is_failure, latency_ms):
-    """Guards against a broken server that gets a trial every second for ever."""
+    """Guards against a trial every second for a server that keeps failing."""
     now = 0.0
     fail(detector, BAD, now)
     for n in range(8):
@@ -115,20 +115,20 @@
         detector.record(BAD, is_failure, latency_ms, at(now))
 
 
-def test_ejection_time_is_forgiven_after_a_healthy_minute(detector):
-    """Guards against a server that one bad hour marks for ever."""
+def test_ejection_time_is_reset_after_a_healthy_minute(detector):
+    """Guards against long ejections of a server because of failures long ago."""
     fail(detector, BAD, 0)
-    for start, expected_ms in [(1000, 2000), (3000 + FORGIVE_MS + 1, 1000)]:
-        back = 1000 if start == 1000 else 3000
-        detector.start_trial(BAD, at(back))
-        detector.record(BAD, False, 10.0, at(back))
+    for start, expected_ms in [(1000, 2000), (3000 + EJECTION_RESET_MS + 1, 1000)]:
+        reinstated_at = 1000 if start == 1000 else 3000
+        detector.start_trial(BAD, at(reinstated_at))
+        detector.record(BAD, False, 10.0, at(reinstated_at))
         fail(detector, BAD, start)
         assert detector.is_ejected(BAD, at(start + expected_ms - 1))
         assert not detector.is_ejected(BAD, at(start + expected_ms))
 
 
 def test_results_of_earlier_requests_do_not_end_an_ejection(detector):
-    """Guards against a late response that returns a broken server."""
+    """Guards against a late response that reinstates a failing server."""
     fail(detector, BAD, 0)
     detector.record(BAD, False, 10.0, at(10))
     assert detector.is_ejected(BAD, at(11))
