--- a/pollenfold/core/selection.py
+++ b/pollenfold/core/selection.py
@@ -28,7 +28,7 @@
 """Probability of also choosing an endpoint without an idle connection in that case."""
 
 REMOTE_ZONE_SLOWDOWN = 0.05
-"""Prefers the local of two similar servers, since cross-zone traffic has a cost."""
+"""Prefers the local of two similar servers, to save cross-zone bytes."""
 
 PENALTY_HALF_LIFE_MS = 1_500.0
 MAX_PENALTY = 8.0
--- a/pollenfold/tests/core/test_selection.py
+++ b/pollenfold/tests/core/test_selection.py
@@ -127,7 +127,7 @@
 
 def test_entry_with_few_requests_reuses_its_connections():
     """Guards against a new connection for each request at an entry with one request per
-    second, whose probes are spread over many endpoints."""
+    second, whose probes are spread over hundreds of endpoints."""
     rng = random.Random(3)
     used_at = {f"e{n}": -1e9 for n in range(27)}
     n_new, n_requests = 0, 600
