--- a/pollenfold/core/claims.py
+++ b/pollenfold/core/claims.py
@@ -5,24 +5,26 @@
 
 **Why at most one claim is dispatched.** A claimant dispatches in two cases only: a
 majority granted its claim at ballot 0, or a majority granted an *accept* of its claim
-that it proposed itself at a higher ballot. A claim id that shows up in a promise or
-in a refusal is never enough, since it may be one vote of a minority.
+that it proposed itself at a higher ballot. A claim id that appears in a promise or
+in a refusal is never sufficient, since it may be one vote of a minority.
 
 Two claims can't both have a majority at ballot 0, since a replica votes once. If a
-claim had a majority there, every later majority of promises shows enough votes and
-silent replicas for it, so recovery keeps it or is in doubt; in doubt no claim is
-proposed. A higher ballot proposes the claimant's own claim only when the register is
-recovered as empty or abandoned, or when it holds that very claim; the claimant has
-not dispatched at that time, because it stops counting its votes at ballot 0 before
-it prepares. For the same reason it takes its own claim out of a doubt: the others
-that may have been dispatched stay in the register. Once a claim is chosen, every
-later value is computed from it, and only its own claimant replaces it.
+claim had a majority there, then in every later majority of promises its votes plus
+the replicas that did not respond add up to a majority, so recovery keeps the claim or
+returns an in-doubt value; in doubt no claim is proposed. A higher ballot proposes the
+claimant's own claim only when the register is recovered as empty or abandoned, or
+when it holds that very claim; the claimant has not dispatched at that time, because
+it stops counting its votes at ballot 0 before it prepares. For the same reason it
+removes its own claim from an in-doubt value: the other claims that may have been
+dispatched stay in the register. Once a claim is chosen, every later value is computed
+from it, and only its own claimant replaces it.
 
 **Why votes carry an epoch.** A replica may grant a claim, lose its disk, copy the
-others before the claim reached them and grant another claim. The old vote and a later
-one together are no majority. So a replica that lost its disk tells the others its new
-epoch before it copies them: a vote given before that is in the copy, and one given
-after it comes with the new epoch, which makes the claimant drop the old vote.
+registers of the other replicas before the claim reached them, and grant another
+claim. The old vote and a later one together are no majority. So a replica that lost
+its disk announces its new epoch to the other replicas before it copies their
+registers: a vote granted before that is in the copy, and one granted after it carries
+the new epoch, which makes the claimant discard the old vote.
 """
 
 from __future__ import annotations
@@ -50,8 +52,8 @@
 )
 
 MAX_ROUNDS = 6
-"""Rounds above ballot 0 until an operation gives up; competing claimants settle in
-one or two with the pause between rounds."""
+"""Rounds above ballot 0 before an operation gives up. With the pause between rounds,
+competing claimants need one or two."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """The request ran earlier; a resend gets this response."""
+    """The request was executed earlier; a resend receives this response."""
 
     outcome: Outcome
 
@@ -73,19 +75,22 @@
 
 @dataclass(frozen=True, slots=True)
 class InDoubt:
-    """The request may have run and no outcome is known; it is not run again."""
+    """The request may have been executed and its outcome is unknown.
+
+    It is not executed again.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """No majority answered. The claim may be stored: abandon it before a refusal."""
+    """No majority responded. The claim may be stored: abandon it before refusing."""
 
 
 ClaimAnswer = Claimed | Completed | InProgress | InDoubt | Unavailable
 
 T = TypeVar("T")
 Decision = Callable[[Value, float], tuple[Value, T]]
-"""Takes the recovered value and its age in ms; returns what to store and to answer."""
+"""Maps the recovered value and its age in ms to the value to store and the result."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finish(Generic[T]):
-    """The operation is over."""
+    """The operation has ended with this result."""
 
     answer: T
 
@@ -114,9 +119,10 @@
 
 
 class Operation(Generic[T]):
-    """One claim, abandon or complete: at most one round at ballot 0, then rounds.
+    """One claim, abandon or complete operation.
 
-    ``proposer`` must be unique to the operation. ``unavailable`` is the answer when
+    It sends at most one message at ballot 0, followed by rounds at higher ballots.
+    ``proposer`` must be unique to the operation. ``unavailable`` is the result when
     no majority can be reached. Events of an earlier phase are ignored.
     """
 
@@ -159,7 +165,7 @@
         return self._send(Prepare(self._ballot))
 
     def on_reply(self, phase: int, replica: int, reply: Reply) -> Action[T] | None:
-        """Take the reply of one replica; return an action when one is due."""
+        """Process the reply of one replica; return the next action, if any."""
         if phase != self._phase or replica in self._failed:
             return None
         self._epochs = tuple(map(max, self._epochs, reply.epochs))
@@ -168,7 +174,7 @@
         return self._advance()
 
     def on_failure(self, phase: int, replica: int) -> Action[T] | None:
-        """Note that a replica did not answer in time."""
+        """Record a replica's missing reply; return the next action, if any."""
         if phase != self._phase or replica in self._replies:
             return None
         self._failed.add(replica)
@@ -192,7 +198,7 @@
         return Pause(self._n_rounds)
 
     def _valid(self) -> list[Reply]:
-        """Replies of replicas that have not lost their disk since they replied."""
+        """Return the replies of replicas that have not lost their disk since."""
         return [
             reply
             for replica, reply in self._replies.items()
@@ -226,16 +232,17 @@
             reply.register.accepted == OPEN_BALLOT for reply in granted
         )
         if is_new_doubt and n_missing:
-            # The replies that are still to come often leave one claim only.
+            # The missing replies often leave only one claim that can have a majority.
             return None
         new_value, self._answer = self._decide(value, _age_ms(value, granted))
         return self._send(Accept(self._ballot, new_value))
 
     def _after_split(self, valid: list[Reply]) -> Action[T]:
-        """Answer from a majority with one foreign value, else start a round.
+        """Finish if a majority holds one value of another claimant, else start a round.
 
-        The value may not be chosen, but an answer about a foreign claim allows no
-        dispatch. The own claim needs a round, since its votes may be superseded.
+        That value need not be chosen, but a result about another claim never permits
+        a dispatch. The operation's own claim needs a round, since its votes may be
+        superseded.
         """
         assert self._claim is not None
         for reply in valid:
@@ -267,8 +274,8 @@
     """Return the operation that claims a key.
 
     ``claim_id`` must be new for every call: a second ``Claimed`` for one id would
-    let its request run twice. A claim without outcome that is older than
-    ``max_age_ms`` gives ``InDoubt``.
+    allow its request to be executed twice. A claim without an outcome that is at
+    least ``max_age_ms`` old results in ``InDoubt``.
     """
 
     def decide(value: Value, age_ms: float) -> tuple[Value, ClaimAnswer]:
@@ -290,10 +297,10 @@
 def abandon(
     n_replicas: int, proposer: str, claim_id: str
 ) -> Operation[Result[None, ErrorKind]]:
-    """Return the operation that gives up a claim whose request did not run.
+    """Return the operation that gives up a claim whose request was not executed.
 
     It succeeds only when the key is stored as abandoned. While another claim holds
-    the key the request may run there: that gives ``IN_PROGRESS``, or
+    the key, that claimant may execute the request: the result is ``IN_PROGRESS``, or
     ``OUTCOME_UNKNOWN`` when the key is in doubt or completed by another claim.
     """
 
@@ -314,8 +321,8 @@
 ) -> Operation[Result[None, ErrorKind]]:
     """Return the operation that stores the outcome of a dispatched claim.
 
-    The first outcome stays: another one, or a claim that does not hold the key,
-    gives ``OUTCOME_UNKNOWN``.
+    The first outcome is final: a different outcome, or a claim that does not hold the
+    key, results in ``OUTCOME_UNKNOWN``.
     """
     completed = Value(State.COMPLETED, (claim_id,), outcome)
 
--- a/pollenfold/core/configuration.py
+++ b/pollenfold/core/configuration.py
@@ -25,10 +25,10 @@
 )
 
 MAX_ANSWERS = 4096
-"""Answers kept for resends: more than five days at 730 changes a day."""
+"""Results kept for resent changes: more than five days at 730 changes a day."""
 
 DEFAULT_MAX_ENTRIES = 19
-"""Entries allowed while there is no fleet record."""
+"""Limit on entries while no fleet record is stored."""
 
 Spec = ServiceSpec | ZoneSpec | FleetSpec | EndpointSpec
 RecordKey = tuple[str, str]
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A record that an operator wants to store, and the id of this intent."""
+    """A record to store, and the change id that identifies resends of the change."""
 
     change_id: str
     record: bytes
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The result of one change; ``error`` is None when it was accepted.
+    """The result of one change; ``error`` is None if the change was accepted.
 
     ``revision`` is the revision of the configuration after the change, and
     ``digest`` identifies the record that the change carried.
@@ -87,7 +87,7 @@
 
 
 def decode_change(command: bytes) -> Change:
-    """Read the command of one log entry; raise ValueError when it is damaged."""
+    """Decode the command of one log entry; raise ValueError when it is malformed."""
     if len(command) < _ID_LENGTH.size:
         raise ValueError(f"expected a change, got {len(command)} bytes")
     (n_id_bytes,) = _ID_LENGTH.unpack_from(command)
@@ -98,18 +98,18 @@
 
 
 def apply_change(state: ConfigurationState, change: Change) -> Answer:
-    """Apply one committed change and return its answer.
+    """Apply one committed change and return its result.
 
     A change is accepted only when its version is the stored version plus one. A
-    change id that was seen before gets its first answer and changes nothing; with
-    another record it gets ``BAD_REQUEST``.
+    repeated change id returns its first result and changes nothing; with a different
+    record the error is ``BAD_REQUEST``.
     """
     digest = xxhash.xxh3_64_intdigest(change.record)
     first = state.answers.get(change.change_id)
     if first is not None:
         if first.digest == digest:
             return first
-        detail = f"change id {change.change_id} was used for another record"
+        detail = f"change id {change.change_id} was used for a different record"
         return Answer(
             change.change_id, state.revision, ErrorKind.BAD_REQUEST, detail, digest
         )
@@ -193,7 +193,7 @@
 
 
 def decode_state(data: bytes) -> ConfigurationState:
-    """Read a state that ``encode_state`` wrote."""
+    """Decode a state encoded by ``encode_state``."""
     fields: dict[str, Any] = json.loads(data)
     state = ConfigurationState(revision=fields["revision"])
     for kind, name, version, revision, text in fields["records"]:
@@ -208,10 +208,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationView:
-    """The configuration at one revision, parsed for the call path.
+    """The configuration at one revision, parsed for request routing.
 
-    ``services`` are ordered by falling length of their path prefix. ``drained``
-    holds the endpoints, named ``ip:port``, that operators drained.
+    ``services`` are sorted by path prefix, longest first. ``drained`` holds the
+    endpoints, named ``ip:port``, that operators have drained.
     """
 
     revision: int = 0
@@ -233,13 +233,13 @@
         return None
 
     def is_zone_in(self, name: str) -> bool:
-        """Return whether the zone takes work; a zone without a record does."""
+        """Return whether the zone is in service; one without a record is."""
         zone = self.zones.get(name)
         return zone is None or zone.is_in
 
 
 def build_view(revision: int, specs: Iterable[Spec]) -> ConfigurationView:
-    """Return the view of the records' specs at the revision."""
+    """Build the view of the given specs at the revision."""
     services: list[ServiceSpec] = []
     zones: dict[str, ZoneSpec] = {}
     fleet = FleetSpec(DEFAULT_MAX_ENTRIES)
--- a/pollenfold/core/directory.py
+++ b/pollenfold/core/directory.py
@@ -8,13 +8,13 @@
 from .errors import ErrorKind, Failure
 
 LEASE_MS = 2000.0
-"""Bounds how long a partitioned entry takes work under an old configuration."""
+"""Bounds how long a partitioned entry accepts requests under an old configuration."""
 
 LEASE_MARGIN_MS = 50.0
-"""Covers clocks that differ in rate: 2.5% of a lease, far above any real one."""
+"""Covers clock rate differences: 2.5% of a lease, far above any real clock drift."""
 
 NOTICE_KEPT_MS = 60_000.0
-"""How long a leave notice is passed on; by then its endpoint has expired."""
+"""How long a leave notice is distributed; by then its endpoint has expired."""
 
 MAX_EPOCH_CHANGES = 1 << 24
 
@@ -23,8 +23,8 @@
 class LiveEntry:
     """An entry and its addresses.
 
-    ``incarnation`` tells two processes with the same id apart; the later one has
-    the higher value.
+    ``incarnation`` distinguishes processes with the same id; a later process has a
+    higher value.
     """
 
     entry_id: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveNotice:
-    """The endpoint ``ip:port`` left the service in this incarnation."""
+    """This incarnation of the endpoint ``ip:port`` left the service."""
 
     endpoint: str
     service: str
@@ -70,7 +70,7 @@
         self.sequence = 0
 
     def add(self, notice: LeaveNotice, age_ms: float, now: Instant) -> bool:
-        """Keep a notice of the given age; return whether it is new."""
+        """Store a notice of the given age; return whether it is new."""
         if not 0 <= age_ms < NOTICE_KEPT_MS:
             return False
         known = self._notices.get(notice.endpoint)
@@ -78,7 +78,7 @@
             return False
         self.sequence += 1
         noted_at = Instant(now - age_ms)
-        # Removing the key first keeps the dictionary in the order of the sequence.
+        # Removing the key first keeps the dictionary sorted by sequence number.
         self._notices.pop(notice.endpoint, None)
         self._notices[notice.endpoint] = _Notice(notice, noted_at, self.sequence)
         return True
@@ -86,7 +86,7 @@
     def since(
         self, sequence: int, now: Instant
     ) -> list[tuple[int, LeaveNotice, float]]:
-        """Return sequence, notice and age in ms of the notices after the sequence."""
+        """Return the notices after ``sequence``, each with its number and age in ms."""
         self._drop_old(now)
         return [
             (kept.sequence, kept.notice, now - kept.noted_at)
@@ -108,9 +108,9 @@
     """The leases that one control leader granted.
 
     ``epoch`` is higher for every later leader. A new leader doesn't know the leases
-    that the previous one granted; until the last of these has ended it is not
-    *settled*: it reports nothing in force, publishes no directory, and grants leases
-    only to entries that still hold one.
+    that the previous one granted. Until the last of these has expired the leader is
+    not *settled*: it reports no revision as in force, publishes no directory, and
+    grants leases only to entries that still hold one.
     """
 
     def __init__(
@@ -126,24 +126,24 @@
         self._in_force = 0
 
     def is_settled(self, now: Instant) -> bool:
-        """Return whether every lease of the previous leader has ended."""
+        """Return whether every lease of the previous leader has expired."""
         return now >= self._settled_at
 
     def published_revision(self, now: Instant) -> int:
-        """Return the revision of the directory, or 0 while it isn't known yet.
+        """Return the revision of the directory, or 0 while the leader isn't settled.
 
-        Revisions rise from one leader to the next.
+        Revisions increase from one leader to the next.
         """
         if not self.is_settled(now):
             return 0
         return self.epoch * MAX_EPOCH_CHANGES + self._n_changes
 
     def live_entries(self) -> tuple[LiveEntry, ...]:
-        """Return the entries with a lease, one for each id, ordered by id."""
+        """Return the entries with a lease, one per id, sorted by id."""
         return tuple(self._published[name] for name in sorted(self._published))
 
     def expire(self, now: Instant) -> bool:
-        """Drop leases that have ended; return whether the directory changed."""
+        """Remove expired leases; return whether the directory changed."""
         ended = [key for key, lease in self._leases.items() if now >= lease.until]
         for key in ended:
             del self._leases[key]
@@ -157,24 +157,27 @@
         admits_new: bool,
         now: Instant,
     ) -> Failure | None:
-        """Return why the entry gets no lease, or None when it gets one.
+        """Return why the entry is refused a lease, or None if it may have one.
 
-        ``admits_new`` is false while a change of ``max_entries`` isn't in force:
-        entries then still divide budgets by different numbers.
+        ``admits_new`` is false while a change of ``max_entries`` isn't in force yet,
+        because the entries still divide budgets by different numbers.
         """
         self.expire(now)
         for lease in self._leases.values():
             other = lease.entry
             if other.entry_id == entry.entry_id:
                 if other.incarnation > entry.incarnation:
-                    detail = f"a later process has the entry id {entry.entry_id}"
+                    detail = f"a newer process uses the entry id {entry.entry_id}"
                     return Failure(ErrorKind.BAD_REQUEST, detail)
         key = (entry.entry_id, entry.incarnation)
         if key in self._leases:
-            # Those that came last give way when the limit was lowered.
+            # After the limit is lowered, the most recently added entries are refused.
             n_before = list(self._leases).index(key)
         elif not self.is_settled(now) and not holds_lease:
-            return Failure(ErrorKind.NOT_READY, "the leader is new")
+            return Failure(
+                ErrorKind.NOT_READY,
+                "waiting for leases of the previous leader to expire",
+            )
         elif self.is_settled(now) and not admits_new:
             return Failure(ErrorKind.NOT_READY, "the fleet record is not in force yet")
         else:
@@ -184,7 +187,7 @@
         return None
 
     def grant(self, entry: LiveEntry, acknowledged: int, now: Instant) -> bool:
-        """Note a lease that starts now; return whether the directory changed."""
+        """Grant or renew a lease from now on; return whether the directory changed."""
         until = add_ms(now, self.lease_ms + LEASE_MARGIN_MS)
         key = (entry.entry_id, entry.incarnation)
         lease = self._leases.get(key)
@@ -199,7 +202,7 @@
         return False
 
     def acknowledge(self, entry: LiveEntry, acknowledged: int) -> None:
-        """Note the revision that an entry with a lease has applied."""
+        """Record the revision that an entry with a lease has applied."""
         lease = self._leases.get((entry.entry_id, entry.incarnation))
         if lease is not None:
             lease.acknowledged = max(lease.acknowledged, acknowledged)
@@ -207,8 +210,8 @@
     def in_force_revision(self, revision: int, now: Instant) -> int:
         """Return the highest revision in force; ``revision`` is the newest one.
 
-        It never falls: an entry that comes back with an older revision gets no
-        lease before it has applied the newest one.
+        It never decreases: an entry that returns with an older revision gets no lease
+        before it has applied the newest one.
         """
         self.expire(now)
         if self.is_settled(now):
@@ -220,7 +223,7 @@
         return self._in_force
 
     def entries_behind(self, revision: int, now: Instant) -> list[str]:
-        """Return the ids of entries with a lease that have an older revision."""
+        """Return the ids of leased entries that have applied only an older revision."""
         self.expire(now)
         behind = {
             lease.entry.entry_id
--- a/pollenfold/core/endpoints.py
+++ b/pollenfold/core/endpoints.py
@@ -1,4 +1,4 @@
-"""An endpoint as the entries know it, and the join of two states of it."""
+"""The replicated state of an endpoint, and the merge of two versions of it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EndpointKey(NamedTuple):
-    """What names an endpoint across its incarnations."""
+    """Identifies an endpoint across its incarnations."""
 
     service: str
     host: str
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmState:
-    """What the entries agree on about the warm-up of one incarnation.
+    """The warm-up state of one incarnation, shared by all entries.
 
     ``zone_version`` is the version of the zone record under which the state was
-    observed. A zone that returns has a higher version, so its endpoints are cold
-    until a state with that version says that they are warm.
+    observed. A zone that returns to service has a higher version, so its endpoints
+    are cold until a state with that version marks them as warm.
     """
 
     epoch: int = 0
@@ -28,13 +28,13 @@
     zone_version: int = 0
 
     def order(self) -> tuple[int, int, bool]:
-        """Return the sort key of a merge; at equal epoch cold wins over warm."""
+        """Return the sort key for merges; at equal epochs cold wins over warm."""
         return (self.zone_version, self.epoch, not self.is_warm)
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One backend server of a service, as it announced itself."""
+    """One backend server of a service, as announced by itself."""
 
     service: str
     host: str
@@ -50,7 +50,7 @@
 
     @property
     def key(self) -> EndpointKey:
-        """The name of the endpoint, without its incarnation."""
+        """The key of the endpoint, which is the same for all incarnations."""
         return EndpointKey(self.service, self.host, self.port)
 
     @property
@@ -61,11 +61,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AgedEndpoint:
-    """An endpoint with the time since its last news, as one entry knows it.
+    """An endpoint and the time since its last update, as seen by one entry.
 
-    For a serving endpoint that is the time since its counter grew, for a leaving one
-    the time since its leave became known. The age lets a receiver expire or forget
-    the endpoint at about the same time as the sender.
+    For a serving endpoint this is the time since its heartbeat counter increased, for
+    a leaving one the time since its leave became known. The age lets a receiver
+    expire or remove the endpoint at about the same time as the sender.
     """
 
     endpoint: Endpoint
@@ -85,9 +85,10 @@
 def merge_endpoints(left: Endpoint, right: Endpoint) -> Endpoint:
     """Return the join of two states of one endpoint.
 
-    The higher incarnation wins. At equal incarnation leaving wins, the counter is
-    the maximum, the other fields come from the state with the higher counter, and
-    the warm state is the later one. The order of merges does not matter.
+    The higher incarnation wins. At equal incarnations leaving wins, the heartbeat
+    counter is the maximum, the other fields come from the state with the higher
+    counter, and the later warm state is used. The result does not depend on
+    the order of merges.
     """
     if left.incarnation != right.incarnation:
         return left if left.incarnation > right.incarnation else right
@@ -100,7 +101,7 @@
 
 
 def _announced(endpoint: Endpoint) -> tuple[int, str, float, int, int]:
-    """Return the fields that a later announcement replaces; a total order."""
+    """Return the fields that a later announcement replaces, as a total order."""
     return (
         endpoint.heartbeat,
         endpoint.zone,
--- a/pollenfold/core/membership.py
+++ b/pollenfold/core/membership.py
@@ -1,8 +1,8 @@
 """The endpoint table of an entry: incarnation, state, heartbeat counter, merge.
 
-Every entry holds one table. Announcements, entries of peers and leave notices are
-merged into it in any order; two tables that have seen the same entries hold the same
-endpoints. Nothing here declares an endpoint dead for another entry.
+Every entry holds one table. Announcements, table entries from peers and leave notices
+are merged into it in any order; two tables that have merged the same entries hold the
+same endpoints. Each entry decides for itself when an endpoint has expired.
 """
 
 from __future__ import annotations
@@ -22,40 +22,40 @@
 from .endpoints import merge_endpoints as merge_endpoints
 
 N_BUCKETS = 64
-"""Parts of the table with a fingerprint each; a difference resends one part."""
+"""Buckets of the table, each with a fingerprint; only differing ones are resent."""
 
 RETENTION_MS = 24 * 3600 * 1000.0
-"""How long a leaving or expired endpoint is remembered. A suspended entry or a full
-socket buffer can deliver an announcement hours late; the record is small."""
+"""How long a leaving or expired endpoint is kept. A suspended entry or a full socket
+buffer can deliver an announcement hours late, and a record needs little memory."""
 
 NOTICE_MS = 60_000.0
-"""How long a leave is repeated in lease renewals."""
+"""How long lease renewals repeat a leave notice."""
 
 _LOW_BITS = 16
 _LOW_MASK = (1 << _LOW_BITS) - 1
 
 
 class MergeOutcome(Enum):
-    """What a merge did to the table."""
+    """The effect of a merge on the table."""
 
     UNCHANGED = "unchanged"
     RENEWED = "renewed"
-    """Only the heartbeat counter grew; the digest exchange spreads that."""
+    """Only the heartbeat counter increased; digest exchanges distribute this."""
 
     CHANGED = "changed"
-    """Peers should get the entry at once."""
+    """The entry should be sent to peers immediately."""
 
     LEFT = "left"
-    """The endpoint started leaving; peers and the control leader should know."""
+    """The endpoint started leaving; peers and the control leader must be notified."""
 
 
 @dataclass(frozen=True, slots=True)
 class Digest:
     """A summary of a table: for each bucket a fingerprint and the counters.
 
-    The fingerprint covers everything but the low 16 bits of the counters, which
-    follow in the order of the keys. Equal fingerprints mean equal keys, so the
-    counters need no names: two bytes for each endpoint.
+    The fingerprint covers everything except the low 16 bits of the heartbeat
+    counters; these are listed in the order of the keys. Equal fingerprints imply
+    equal keys, so the counters need no keys: two bytes for each endpoint.
     """
 
     fingerprints: tuple[int, ...]
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """What a table answers to the digest of another one.
+    """The response of a table to the digest of another one.
 
     ``buckets`` differ, and ``entries`` are all entries in them. ``heartbeats`` are
     the counters of the equal buckets, in ascending order of the bucket.
@@ -76,8 +76,8 @@
 
 
 class _Record:
-    """A table entry. The counter is kept beside the endpoint, so that a renewal
-    does not replace the object that the call path holds."""
+    """A table entry. The heartbeat counter is stored separately, so that a renewal
+    does not replace the endpoint object used for routing."""
 
     __slots__ = ("endpoint", "heartbeat", "since", "is_expired", "fingerprint")
 
@@ -115,7 +115,7 @@
 
 
 class _Bucket:
-    """The records of one part, with the summary that the digest needs."""
+    """The records of one bucket, and their summary for the digest."""
 
     __slots__ = ("records", "_ordered", "_fingerprint")
 
@@ -128,9 +128,9 @@
         self._ordered = None
 
     def ordered(self) -> list[_Record]:
-        """Return the records that are exchanged, in the order of their keys.
+        """Return the records to exchange with peers, sorted by key.
 
-        Expired records stay local: each entry expires an endpoint by its own clock.
+        Expired records stay local: each entry expires endpoints by its own clock.
         """
         if self._ordered is None:
             self._ordered = [
@@ -155,9 +155,9 @@
 class EndpointTable:
     """The endpoints that one entry knows.
 
-    For example, ``table.merge(endpoint, now)`` takes an announcement, and
-    ``table.endpoints("pearl-market")`` gives the endpoints that serve. ``expire``
-    must be called about once a second.
+    For example, ``table.merge(endpoint, now)`` merges an announcement, and
+    ``table.endpoints("pearl-market")`` returns the serving endpoints. ``expire`` must
+    be called about once a second.
     """
 
     def __init__(self) -> None:
@@ -166,14 +166,14 @@
         self._serving: dict[str, tuple[Endpoint, ...]] = {}
 
     def __len__(self) -> int:
-        """Return the number of records, with those that left or expired."""
+        """Return the number of records, including leaving and expired endpoints."""
         return sum(len(bucket.records) for bucket in self._buckets)
 
     def endpoints(self, service: str) -> tuple[Endpoint, ...]:
-        """Return the serving endpoints of a service, in the order of their keys.
+        """Return the serving endpoints of a service, sorted by key.
 
         The same tuple is returned until one of them changes. Renewals do not change
-        it, so ``heartbeat`` may be older than the table's; see ``get``.
+        it, so ``heartbeat`` may be older than in the table; see ``get``.
         """
         serving = self._serving.get(service)
         if serving is None:
@@ -187,14 +187,14 @@
         return serving
 
     def get(self, key: EndpointKey) -> Endpoint | None:
-        """Return what is known of an endpoint, also when it left or expired."""
+        """Return the endpoint with this key, even if it is leaving or expired."""
         record = self._services.get(key.service, {}).get(key)
         return None if record is None else record.current()
 
     def merge(
         self, endpoint: Endpoint, now: Instant, age_ms: float = 0.0
     ) -> MergeOutcome:
-        """Merge an announcement, or an entry of a peer with its age."""
+        """Merge an announcement, or a table entry from a peer with its age."""
         key = endpoint.key
         since = Instant(now - age_ms)
         record = self._services.get(key.service, {}).get(key)
@@ -215,7 +215,7 @@
         is_leave = merged.is_leaving and (is_new or not before.is_leaving)
         fresh = _Record(merged, since)
         if not is_new and not is_leave and merged.heartbeat == before.heartbeat:
-            # Only growth of the counter postpones the expiry.
+            # Only a higher heartbeat counter postpones the expiry.
             fresh.since = record.since
             fresh.is_expired = record.is_expired
         elif not is_new and before.is_leaving:
@@ -226,10 +226,10 @@
         return MergeOutcome.CHANGED
 
     def apply_leave_notice(self, notice: LeaveNotice, now: Instant) -> MergeOutcome:
-        """Mark the incarnation of a notice as leaving, also when it is unknown.
+        """Mark the incarnation of a notice as leaving, even if it is unknown.
 
-        An unknown endpoint gets a record without slots, so that an announcement
-        which arrives after the notice can't bring it into service.
+        An unknown endpoint is stored with zero slots, so that an announcement which
+        arrives after the notice can't put it into service.
         """
         known = self.get(EndpointKey(notice.service, notice.host, notice.port))
         if known is not None and known.incarnation == notice.incarnation:
@@ -249,7 +249,7 @@
         return self.merge(left, now)
 
     def leave_notices(self, now: Instant) -> tuple[LeaveNotice, ...]:
-        """Return the leaves of the last 60 s, for the next lease renewal."""
+        """Return the leave notices of the last 60 s, for the next lease renewal."""
         return tuple(
             LeaveNotice(*record.endpoint.key, record.endpoint.incarnation)
             for record in self._records()
@@ -257,9 +257,9 @@
         )
 
     def expire(self, now: Instant) -> tuple[Endpoint, ...]:
-        """Expire endpoints whose counter stopped growing; return the new ones.
+        """Expire endpoints without new heartbeats; return the newly expired ones.
 
-        Records that left or expired longer ago than the retention are dropped.
+        Endpoints that left or expired longer than ``RETENTION_MS`` ago are removed.
         """
         expired = []
         for record in list(self._records()):
@@ -275,7 +275,7 @@
         return tuple(expired)
 
     def entries(self, now: Instant, buckets: Iterable[int]) -> Iterator[AgedEndpoint]:
-        """Yield the exchanged entries of the buckets."""
+        """Yield the entries of the buckets that are exchanged with peers."""
         for index in buckets:
             for record in self._buckets[index].ordered():
                 yield AgedEndpoint(record.current(), max(0.0, now - record.since))
@@ -290,10 +290,10 @@
     def difference(
         self, digest: Digest, now: Instant, max_entries: int = 2000
     ) -> Difference:
-        """Return what the sender of a digest lacks.
+        """Return the entries and counters that the sender of a digest may lack.
 
-        At most about ``max_entries`` entries are returned; later buckets wait for
-        the next exchange.
+        About ``max_entries`` entries are returned at most; the remaining buckets
+        follow in the next exchange.
         """
         differing: list[int] = []
         entries: list[AgedEndpoint] = []
@@ -311,7 +311,7 @@
         return Difference(tuple(differing), tuple(entries), tuple(heartbeats))
 
     def renew(self, digest: Digest, now: Instant) -> int:
-        """Take higher counters of the buckets that are equal; return how many."""
+        """Apply higher counters from equal buckets; return the number of renewals."""
         n_renewed = 0
         for index, bucket in enumerate(self._buckets):
             if bucket.fingerprint() == digest.fingerprints[index]:
@@ -321,9 +321,9 @@
     def renew_from_difference(
         self, sent: Digest, difference: Difference, now: Instant
     ) -> int:
-        """Take the counters that a peer answered to the digest ``sent``.
+        """Apply the counters that a peer returned for the digest ``sent``.
 
-        A bucket that changed since the digest was made is left out.
+        Buckets that have changed since the digest was computed are skipped.
         """
         differing = set(difference.buckets)
         equal = [index for index in range(N_BUCKETS) if index not in differing]
@@ -373,7 +373,7 @@
 
     @staticmethod
     def _is_outdated(endpoint: Endpoint, age_ms: float) -> bool:
-        """Return whether the sender was about to expire or forget the entry."""
+        """Return whether the sender was about to expire or remove the entry."""
         return age_ms > (RETENTION_MS if endpoint.is_leaving else endpoint.ttl_ms)
 
     def _records(self) -> Iterator[_Record]:
--- a/pollenfold/core/orders.py
+++ b/pollenfold/core/orders.py
@@ -1,7 +1,7 @@
-"""Orders that control replicas agree on: configuration, evacuations, departures.
+"""Commands of the replicated log: configuration, evacuations, departures.
 
-Each order is one command of the replicated log. Applying it is deterministic, so all
-replicas hold the same orders at the same index.
+Control replicas agree on the order of the commands. Applying a command is
+deterministic, so all replicas hold the same replicated state at the same log index.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 from typing import Any
 
 MAX_DEPARTURES = 1_000
-"""Departures kept; older ones concern endpoints whose announcements have ended."""
+"""Departures kept; older ones belong to endpoints that no longer announce."""
 
 
 @dataclass(frozen=True, slots=True)
 class Configure:
-    """Put a whole configuration in force, unless a higher version is held."""
+    """Put a complete configuration in force, unless its version is not higher."""
 
     version: int
     document: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evacuate:
-    """Send nothing more to the endpoints of a zone, or take that back."""
+    """Stop sending requests to the endpoints of a zone, or resume sending."""
 
     zone: str
     is_out: bool
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Depart:
-    """Send nothing more to an endpoint that was started at ``born_ms`` or before."""
+    """Stop sending to incarnations of an endpoint started at ``born_ms`` or before."""
 
     endpoint_id: str
     born_ms: int
@@ -42,7 +42,7 @@
 
 
 def encode_order(order: Order) -> bytes:
-    """Return an order as a command of the log."""
+    """Return the command as the bytes of a log entry."""
     match order:
         case Configure(version, document):
             fields: list[Any] = ["configure", version, document]
@@ -54,7 +54,7 @@
 
 
 def decode_order(command: bytes) -> Order:
-    """Read an order; raise ValueError for any other bytes."""
+    """Decode a command; raise ValueError if the bytes are not a valid command."""
     try:
         match json.loads(command):
             case ["configure", int(version), str(document)]:
@@ -65,15 +65,16 @@
                 return Depart(endpoint_id, born_ms)
     except UnicodeDecodeError as error:
         raise ValueError(str(error)) from error
-    raise ValueError("expected an order of the replicated log")
+    raise ValueError("expected a command of the replicated log")
 
 
 @dataclass(slots=True)
 class Orders:
-    """The orders in force after the log entry ``index``.
+    """The replicated state after applying the log entry ``index``.
 
-    ``version`` 0 means that no configuration was accepted yet. ``departures`` maps an
-    endpoint id to the start of its latest life that leaves, in ms since 1970.
+    ``version`` 0 means that no configuration has been accepted yet. ``departures``
+    maps an endpoint id to the start time of its latest incarnation that is leaving or
+    has left, in ms since 1970.
     """
 
     index: int = 0
@@ -82,10 +83,10 @@
     evacuated: frozenset[str] = frozenset()
     departures: dict[str, int] = field(default_factory=dict)
     departed_at: dict[str, int] = field(default_factory=dict, compare=False)
-    """The index of each departure; one that a snapshot held counts as of its index."""
+    """The log index of each departure; for those read from a snapshot, its index."""
 
     def apply(self, index: int, order: Order) -> bool:
-        """Apply an order and return whether it changed anything."""
+        """Apply a command; return whether it changed the state."""
         self.index = index
         match order:
             case Configure(version, document):
@@ -117,11 +118,11 @@
             self.departed_at.pop(oldest, None)
 
     def has_departed(self, endpoint_id: str, born_ms: int) -> bool:
-        """Return whether this life of an endpoint leaves, or has left."""
+        """Return whether this incarnation of an endpoint is leaving or has left."""
         return self.departures.get(endpoint_id, -1) >= born_ms
 
     def encode(self) -> dict[str, Any]:
-        """Return the orders as JSON values."""
+        """Return the replicated state as JSON values."""
         return {
             "index": self.index,
             "version": self.version,
@@ -131,9 +132,10 @@
         }
 
     def encode_since(self, index: int, version: int) -> dict[str, Any]:
-        """Return what a reader lacks that has the orders of an earlier index.
+        """Return the difference for a subscriber that has the state at ``index``.
 
-        The configuration is most of the bytes, and most orders don't change it.
+        The configuration document is omitted if the subscriber has its version: it
+        makes up most of the bytes, and most commands don't change it.
         """
         fields = self.encode()
         fields["since"] = index
@@ -147,14 +149,14 @@
         return fields
 
     def merged(self, fields: dict[str, Any]) -> Orders:
-        """Return the orders of ``encode`` or ``encode_since`` on top of these.
+        """Return the state after applying fields of ``encode`` or ``encode_since``.
 
-        Raise KeyError or ValueError for other fields, and where what the sender
-        left out isn't held here.
+        Raise KeyError or ValueError if the fields are malformed, or if this state
+        lacks data that the sender omitted.
         """
         since = int(fields.get("since", 0))
         if since > self.index:
-            raise ValueError(f"orders since {since} on top of {self.index}")
+            raise ValueError(f"update since index {since} for a state at {self.index}")
         known = {"document": self.document} if self._is_held(fields) else {}
         orders = decode_orders({**known, **fields})
         if since:
@@ -167,9 +169,9 @@
 
 
 def decode_orders(fields: dict[str, Any]) -> Orders:
-    """Return the orders that ``Orders.encode`` gave.
+    """Decode a replicated state encoded by ``Orders.encode``.
 
-    Raise KeyError, ValueError or TypeError for other fields.
+    Raise KeyError, ValueError or TypeError if the fields are malformed.
     """
     index = int(fields["index"])
     if not isinstance(fields["departures"], dict):
--- a/pollenfold/core/ownership.py
+++ b/pollenfold/core/ownership.py
@@ -1,4 +1,4 @@
-"""Which entry warms an endpoint up, and since when, over successive directories."""
+"""Which entry warms up an endpoint, and since when, across directory revisions."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Directory:
-    """The live entries of one revision, and when this entry first saw it.
+    """The live entries of one revision, and when this entry first received it.
 
-    The revisions of one control leader count up by one; a gap means that this entry
+    The revisions of one control leader increase by one; a gap means that this entry
     missed some. A new leader must start more than one above the last revision, since
-    it does not know whom the previous one had listed.
+    it does not know which entries the previous leader had listed.
     """
 
     revision: int
@@ -27,10 +27,10 @@
 
 
 def warmup_owner(entry_ids: tuple[str, ...], key: EndpointKey) -> str | None:
-    """Return the entry that warms the endpoint up, by rendezvous hash.
+    """Return the entry that warms up the endpoint, by rendezvous hashing.
 
-    Only endpoints of an entry that leaves, and those that an added entry wins, change
-    their owner.
+    When the entries change, only endpoints owned by a removed entry and those
+    reassigned to an added entry change their owner.
     """
     name = f"\0{key.service}\0{key.host}\0{key.port}"
     return max(
@@ -44,7 +44,7 @@
 
 
 class Ownership:
-    """Since when this entry owns the warm-up of one endpoint; None when it does not."""
+    """When this entry became the warm-up owner of an endpoint; None if it is not."""
 
     __slots__ = ("since", "revision", "generation")
 
@@ -55,10 +55,10 @@
 
 
 class DirectoryHistory:
-    """The directories that one entry saw without a gap.
+    """The directories that one entry has received since the last gap in revisions.
 
-    ``generation`` changes with every gap, because an entry in between may have been
-    the owner and may have started.
+    ``generation`` changes with every gap, because in a missed revision another entry
+    may have been the owner and may have started the warm-up.
     """
 
     def __init__(self, entry_id: str) -> None:
@@ -67,7 +67,7 @@
         self._generation = 0
 
     def observe(self, directory: Directory) -> None:
-        """Append a directory; one that does not follow the last one starts anew."""
+        """Append a directory; a gap in the revisions clears the history first."""
         if self._seen:
             last = self._seen[-1]
             is_same = directory.entry_ids == last.entry_ids
@@ -81,7 +81,7 @@
             del self._seen[0]
 
     def update(self, ownership: Ownership, key: EndpointKey) -> bool:
-        """Bring an ownership up to the last directory; return whether it changed."""
+        """Update an ownership to the latest directory; return whether it changed."""
         before = ownership.since
         is_continued = ownership.generation == self._generation
         if not is_continued or self._seen[0].revision > ownership.revision + 1:
--- a/pollenfold/core/records.py
+++ b/pollenfold/core/records.py
@@ -1,4 +1,4 @@
-"""Configuration records as the decisions see them."""
+"""Parsed configuration records, as used by routing and admission."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class RequestClass(Enum):
-    """Whether a request may run more than once."""
+    """Whether a request may be executed more than once."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
 
 
 class RecordKind(Enum):
-    """What a record describes."""
+    """The kind of object that a record configures."""
 
     SERVICE = "service"
     ZONE = "zone"
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Gives requests with one of the methods under the path prefix a class."""
+    """Assigns a class to requests with one of the methods under the path prefix."""
 
     methods: tuple[str, ...]
     path_prefix: str
@@ -35,8 +35,8 @@
 class ServiceSpec:
     """One service of a tenant, and the limits of its endpoints.
 
-    ``retry_ratio`` and ``hedge_ratio`` are shares of the calls. The probe budget is
-    the sum over all entries.
+    ``retry_ratio`` and ``hedge_ratio`` are fractions of the number of calls. The
+    probe budget is shared by all entries.
     """
 
     name: str
@@ -67,14 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSpec:
-    """Limits that hold for all entries together."""
+    """Limits that apply to all entries together."""
 
     max_entries: int
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointSpec:
-    """An operator's decision about one endpoint, named ``ip:port``."""
+    """Operator settings for one endpoint, named ``ip:port``."""
 
     name: str
     service: str
@@ -82,9 +82,9 @@
 
 
 def classify(service: ServiceSpec, method: str, path: str) -> RequestClass:
-    """Return the class of a request: the first matching rule, else non-idempotent.
+    """Return the class of the first matching rule, or non-idempotent if none matches.
 
-    ``path`` is the whole path of the request; rules match the part after the path
+    ``path`` is the full path of the request; rules match the part after the path
     prefix of the service.
     """
     rest = path[len(service.path_prefix.rstrip("/")) :] or "/"
--- a/pollenfold/core/register.py
+++ b/pollenfold/core/register.py
@@ -1,12 +1,13 @@
-"""One register for each key of a non-idempotent request, as a ledger replica sees it.
+"""The register of one idempotency key on a ledger replica.
 
 A register is changed only by ``handle``, a pure function of the register, one
-message and the time. Ballot 0 is open: the first claim that reaches an empty
-register is its vote. Every later change is a CASPaxos round: *prepare* with a higher
-ballot, then *accept* with the value that the claimant computed from the promises.
+message and the time. Ballot 0 needs no prepare phase: a replica votes for the first
+claim that reaches an empty register. Every later change is a CASPaxos round:
+*prepare* with a higher ballot, then *accept* with the value that the claimant
+computed from the promises.
 
 Votes are counted by replica and epoch. A replica that lost its disk returns with a
-higher epoch, which the replicas that it copied from report with every reply; see
+higher epoch, which the replicas that it copied from report in every reply; see
 ``core.claims`` for the reason.
 """
 
@@ -19,20 +20,20 @@
 from .clock import Instant
 
 Ballot = tuple[int, str]
-"""Round number and proposer; compared in this order."""
+"""Round number and proposer, compared in this order."""
 
 OPEN_BALLOT: Ballot = (0, "")
-"""The ballot of a first claim, at which no promise is needed."""
+"""The ballot of a first claim, which needs no promise."""
 
 RETENTION_MS = 24 * 3600 * 1000.0
-"""A resend later than this is a new request; bounds the memory of a replica."""
+"""A resend after this time is a new request; this bounds the memory of a replica."""
 
 RETENTION_MARGIN_MS = 3600 * 1000.0
-"""Covers the clock difference between replicas and the duration of an operation."""
+"""Covers clock differences between replicas and the duration of an operation."""
 
 
 class State(Enum):
-    """What is known about the request of a key."""
+    """What the register records about the request with its key."""
 
     EMPTY = "empty"
     CLAIMED = "claimed"
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The response of a request that ran."""
+    """The response to a request that was executed."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...] = ()
@@ -54,9 +55,10 @@
 class Value:
     """The content of a register.
 
-    ``claim_ids`` has the one claim of a claimed, abandoned or completed register.
-    In doubt it has every claim that may have been dispatched, sorted; ``is_open``
-    then says that a claim whose votes were lost with a disk may be another one.
+    ``claim_ids`` holds the single claim of a claimed, abandoned or completed register.
+    In doubt it holds every claim that may have been dispatched, sorted; ``is_open``
+    then means that a further claim, whose votes were lost with a disk, may also have
+    been dispatched.
     """
 
     state: State
@@ -73,9 +75,9 @@
     """The state of one key on one replica.
 
     ``accepted`` is the ballot of ``value``. With ``is_vote_unknown`` the replica may
-    have voted at ballot 0 before it lost its disk, for a claim it can't name.
-    ``changed_at`` is when the value came, ``promised_at`` when the last promise was
-    given; both by the wall clock of the replica.
+    have voted at ballot 0 for an unknown claim before it lost its disk.
+    ``changed_at`` is when the value was stored, ``promised_at`` when the last promise
+    was made, both by the wall clock of the replica.
     """
 
     promised: Ballot = OPEN_BALLOT
@@ -91,21 +93,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Asks for the vote at ballot 0."""
+    """Requests the vote at ballot 0."""
 
     claim_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Asks for the promise to refuse all lower ballots."""
+    """Requests the promise to refuse all lower ballots."""
 
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Asks to store ``value`` at ``ballot``."""
+    """Requests storing ``value`` at ``ballot``."""
 
     ballot: Ballot
     value: Value
@@ -116,10 +118,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What a replica says to a message.
+    """The reply of a replica to a message.
 
     ``register`` is its state after the message. ``age_ms`` is how long the value has
-    been there. ``epochs`` has the epoch of every replica as this one knows it, in
+    been stored. ``epochs`` has the epoch of every replica as known to this one, in
     the order of the sorted replica ids.
     """
 
@@ -167,16 +169,16 @@
 
 
 def age_ms(register: Register, now: Instant) -> float:
-    """Return how long the value has been there, never below zero."""
+    """Return how long the value has been stored, at least zero."""
     return max(0.0, now - register.changed_at)
 
 
 def is_droppable(register: Register, now: Instant) -> bool:
-    """Return whether the register may be forgotten.
+    """Return whether the register may be deleted.
 
-    Claims without an outcome and unknown votes stay: forgetting one would let a
-    resend run the request again while its fate is unknown. A promise counts like a
-    change, so that a round in progress does not lose it.
+    Claims without an outcome and unknown votes are kept: deleting one would allow a
+    resend to execute the request again while its outcome is unknown. A promise counts
+    as a change, so that a round in progress does not lose it.
     """
     touched_at = max(register.changed_at, register.promised_at)
     if register.is_vote_unknown or now - touched_at < RETENTION_MS:
@@ -185,15 +187,15 @@
 
 
 Aged = tuple[Register, float]
-"""A register and how long its value has been there, in ms."""
+"""A register and how long its value has been stored, in ms."""
 
 
 def merge_copies(copies: Sequence[Aged]) -> Register:
-    """Return the register of a replica that lost its disk, from those of others.
+    """Rebuild the register of a replica that lost its disk from those of others.
 
-    The highest promise and the value of the highest ballot are taken. Different
-    claims at ballot 0, or an unknown vote among them, leave the vote unknown: the
-    lost disk may have held a vote for any of them.
+    The result has the highest promise and the value of the highest ballot. If the
+    copies hold different claims at ballot 0, or an unknown vote, its vote is unknown:
+    the lost disk may have held a vote for any of these claims.
     """
     registers = [register for register, _ in copies]
     newest = _newest(copies)
@@ -216,9 +218,10 @@
     """Return the value that may have been chosen, from a majority of promises.
 
     The value of the highest ballot above 0 wins. At ballot 0 a claim may have been
-    chosen when its votes plus the replicas that did not answer or do not know their
-    vote reach a majority. One such claim is kept, none means empty, several or one
-    that no answer names mean in doubt.
+    chosen if its votes plus the replicas that did not reply or do not know their vote
+    reach a majority. If there is one such claim, it is kept; if there is none, the
+    result is empty; if there are several, or one that appears in no reply may exist,
+    the result is in doubt.
     """
     newest = _newest(promises)
     if newest.accepted > OPEN_BALLOT:
@@ -249,10 +252,11 @@
 
 
 def _is_expiring(copies: Sequence[Aged]) -> bool:
-    """Return whether the newest value may be left from before others dropped it.
+    """Return whether other replicas may already have dropped the newest value.
 
-    Replicas drop a register at slightly different times. A younger claim beside a
-    value near its retention may have been chosen by replicas that dropped it.
+    Replicas drop a register at slightly different times. If one copy holds a value
+    near the end of its retention and another a younger claim, that claim may have
+    been chosen by replicas that had dropped the value.
     """
     newest = _newest(copies)
     if newest.value.state not in (State.ABANDONED, State.COMPLETED):
@@ -265,10 +269,11 @@
 
 
 def withdraw(value: Value, claim_id: str) -> Value:
-    """Return the value after a claimant that did not dispatch gave up its claim.
+    """Return the value after a claimant that did not dispatch withdraws its claim.
 
-    In doubt among two claims, the withdrawal of one leaves the other one claimed,
-    since no third claim can have been dispatched. The last withdrawal abandons.
+    If a register is in doubt between two claims and one is withdrawn, the other one
+    holds the key, since no third claim can have been dispatched. Withdrawing the last
+    claim abandons the key.
     """
     if claim_id not in value.claim_ids:
         return value
--- a/pollenfold/core/registry.py
+++ b/pollenfold/core/registry.py
@@ -1,7 +1,8 @@
-"""Endpoints as they announce themselves, and which of them may get work.
+"""Announced endpoints, and which of them may receive new requests.
 
-Announcements may come late, twice and out of order. One life of an endpoint is named
-by its id and its start; a higher sequence number is the newer word of one life.
+Announcements may arrive late, repeatedly and out of order. An incarnation of an
+endpoint is identified by its id and start time; among the announcements of one
+incarnation the highest sequence number is the newest.
 """
 
 from __future__ import annotations
@@ -15,10 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """What an endpoint says of itself.
+    """The state that an endpoint announces.
 
-    ``born_ms`` is its start in ms since 1970 on its own clock; it only orders the
-    lives of one id or one address. ``warmup_left_ms`` is how long it stays cold.
+    ``born_ms`` is its start time in ms since 1970 by its own clock, used only to order
+    the incarnations of one id or one address. ``warmup_left_ms`` is how long the
+    endpoint remains cold.
     """
 
     endpoint_id: str
@@ -34,7 +36,7 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """Return what orders the announcements of one id."""
+        """Return the sort key of the announcements of one id."""
         return self.born_ms, self.sequence
 
     def encode(self) -> list[object]:
@@ -54,7 +56,7 @@
 
 
 def decode_announcement(fields: list[object]) -> Announcement:
-    """Read the fields of ``encode``; raise ValueError when they are others."""
+    """Decode the fields of ``encode``; raise ValueError if they are malformed."""
     match fields:
         case [
             str(endpoint_id),
@@ -85,7 +87,11 @@
 
 @dataclass(slots=True)
 class Known:
-    """The newest announcement of an endpoint, with when it and any word came."""
+    """The newest announcement of an endpoint.
+
+    ``announced_at`` is when it was first received, and ``heard_at`` when it or a
+    repetition of it was last received.
+    """
 
     announcement: Announcement
     announced_at: Instant
@@ -111,15 +117,15 @@
         return None if known is None else known.announcement
 
     def known(self, endpoint_id: str) -> Known | None:
-        """Return the newest announcement of an endpoint and its instants."""
+        """Return the newest announcement of an endpoint and its receive times."""
         return self._known.get(endpoint_id)
 
     def merge(self, announcement: Announcement, now: Instant) -> bool:
-        """Take an announcement; return whether it says anything new.
+        """Merge an announcement; return whether it contains an update.
 
-        A repeated or an older one changes nothing. Of two endpoints with one address
-        the one that started later holds it: an announcement of the earlier one was
-        delayed on its way.
+        A repeated or older announcement changes nothing. If two endpoints announce
+        the same address, the one that started later keeps it, since the announcement
+        of the earlier one must have been delayed.
         """
         endpoint_id = announcement.endpoint_id
         known = self._known.get(endpoint_id)
@@ -140,13 +146,13 @@
         return known is None or _differs(known.announcement, announcement)
 
     def hear(self, endpoint_id: str, now: Instant) -> None:
-        """Note that an endpoint announced itself again, with nothing new."""
+        """Record that an endpoint repeated its newest announcement."""
         known = self._known.get(endpoint_id)
         if known is not None:
             known.heard_at = now
 
     def remove(self, endpoint_id: str) -> None:
-        """Forget an endpoint."""
+        """Remove an endpoint."""
         known = self._known.pop(endpoint_id, None)
         if known is None:
             return
@@ -155,14 +161,14 @@
             del self._by_address[address]
 
     def expire(self, heard_before: Instant) -> list[str]:
-        """Forget the endpoints that were silent since an instant; return their ids."""
+        """Remove endpoints with no announcement since an instant; return their ids."""
         silent = [k for k, v in self._known.items() if v.heard_at < heard_before]
         for endpoint_id in silent:
             self.remove(endpoint_id)
         return silent
 
     def all_known(self) -> Iterable[Known]:
-        """Return the newest announcement of each endpoint and its instants."""
+        """Return the newest announcement of each endpoint and its receive times."""
         return self._known.values()
 
     def announcements(self) -> Iterable[Announcement]:
@@ -171,7 +177,7 @@
 
 
 def _differs(before: Announcement, after: Announcement) -> bool:
-    """Return whether more changed than the sequence and the time to warm up."""
+    """Return whether more changed than the sequence and a shorter warm-up time."""
     return (
         before.born_ms != after.born_ms
         or before.service != after.service
--- a/pollenfold/core/warming.py
+++ b/pollenfold/core/warming.py
@@ -1,8 +1,8 @@
-"""Warm-up of cold endpoints: one owner, a ramp, and the detection of coldness.
+"""Warm-up of cold endpoints: ownership, concurrency ramp, and cold detection.
 
-While an endpoint is cold only its warm-up owner sends to it. The owner is the same
-on every entry with the same directory, and a new owner waits until the previous one
-must have stopped.
+While an endpoint is cold, only its warm-up owner sends requests to it. All entries
+with the same directory agree on the owner, and a new owner waits until the previous
+one must have stopped.
 """
 
 from __future__ import annotations
@@ -20,36 +20,37 @@
 from .records import ServiceSpec
 
 SUCCESSES_PER_SLOT = 4
-"""Successful responses for each slot of the present limit before the next slot."""
+"""Successful responses per slot of the current limit before the limit is raised."""
 
 N_HIGH_LATENCIES = 5
-"""Consecutive responses far above the baseline that count as a sudden rise. Five in
-a row at the 99th percentile are a matter of chance a few times a day at the largest
-size; three would be one every few seconds."""
+"""Consecutive responses far above the baseline that count as a sudden rise. At the
+largest size, five in a row at the 99th percentile occur by chance a few times a day;
+three in a row would occur every few seconds."""
 
 N_SHEDS = 3
-"""Consecutive refusals by a warm endpoint that count as a sign of coldness."""
+"""Consecutive refusals by a warm endpoint that indicate that it is cold."""
 
 MIN_BASELINE_SAMPLES = 20
 
 RISE_FACTOR = 3.0
 RISE_MS = 2.0
-"""A rise is above ``RISE_FACTOR`` times the baseline plus ``RISE_MS``; the constant
-part keeps scheduling noise of sub-millisecond servers out."""
+"""A latency is high if it exceeds ``RISE_FACTOR`` times the baseline plus ``RISE_MS``;
+the constant filters out scheduling noise of servers with sub-millisecond latency."""
 
 BASELINE_WEIGHT = 0.02
 
 MAX_SUSPECT_SHARE = 1 / 3
-"""Share of a service's endpoints that latency and shedding may show as cold at once.
-More of them at the same time mean that the service is overloaded; taking endpoints
-out then would make it worse."""
+"""Share of a service's endpoints that may be detected as cold by latency or shedding
+at the same time. A larger share means that the service is overloaded, and removing
+capacity would make that worse."""
 
 SUSPECT_MS = 1000.0
 
 WARM_SHARE_FACTOR = 2.0
 MIN_WARM_SHARE = 2
-"""An entry may use twice its part of a warm endpoint's slots, and two at least. The
-platform's load balancer spreads connections, not requests, over the entries."""
+"""An entry may use twice its share of a warm endpoint's slots, and at least two,
+because the platform's load balancer distributes connections, not requests, over the
+entries."""
 
 
 class WarmReason(Enum):
@@ -63,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmChange:
-    """An endpoint with a new warm state, to merge into the table and to push."""
+    """An endpoint with a new warm state, to merge into the table and push to peers."""
 
     endpoint: Endpoint
     reason: WarmReason
 
 
 class LatencyBaseline:
-    """The slowly moving mean of latencies, and the run of values far above it."""
+    """A moving average of latencies, and the number of successive high latencies."""
 
     __slots__ = ("mean_ms", "n_samples", "n_high")
 
@@ -80,7 +81,7 @@
         self.n_high = 0
 
     def add(self, latency_ms: float) -> bool:
-        """Take one latency; return whether it ends a sudden rise."""
+        """Add a latency; return whether a sudden rise has been detected."""
         self.n_samples += 1
         is_learning = self.n_samples <= MIN_BASELINE_SAMPLES
         if not is_learning and latency_ms > RISE_FACTOR * self.mean_ms + RISE_MS:
@@ -97,7 +98,7 @@
 
 
 class _State:
-    """What one entry knows about the warm-up of one endpoint."""
+    """The warm-up state of one endpoint on this entry."""
 
     __slots__ = (
         "endpoint",
@@ -132,7 +133,7 @@
 
     @property
     def is_detected_cold(self) -> bool:
-        """Whether an entry saw the endpoint turn cold after it had been warm."""
+        """Whether an entry detected that the endpoint became cold after being warm."""
         warm = self.endpoint.warm
         is_explicit = not warm.is_warm and warm.epoch > 0
         return is_explicit and warm.zone_version >= self.zone_version
@@ -148,7 +149,7 @@
         self.baseline = LatencyBaseline()
 
     def step_back(self) -> None:
-        """Halve the ramp, but never below its start."""
+        """Halve the ramp limit, but not below its initial value."""
         self.ramp_limit = max(self._first_limit(), self.ramp_limit // 2)
         self.n_successes = 0
         self.baseline = LatencyBaseline()
@@ -167,9 +168,10 @@
 class WarmupController:
     """Limits what this entry sends to each endpoint while it is cold.
 
-    ``limit`` gives the concurrency that the entry may have at an endpoint, and
-    ``record`` takes the result of each request. ``observe`` should be called with
-    every new directory, so that none is missed between two calls of ``limit``.
+    ``limit`` returns how many concurrent requests the entry may send to an endpoint,
+    and ``record`` must be called with the result of each request. ``observe`` should
+    be called with every new directory, so that none is missed between two calls of
+    ``limit``.
     """
 
     def __init__(self, entry_id: str, lease_ms: float) -> None:
@@ -186,9 +188,9 @@
         directory: Directory,
         now: Instant,
     ) -> int:
-        """Return the concurrency that this entry may have at the endpoint.
+        """Return how many concurrent requests this entry may send to the endpoint.
 
-        ``zone_version`` is the version of the zone's record when it last came in.
+        ``zone_version`` is the record version at which the zone last entered service.
         """
         state = self._by_id.get(id(endpoint))
         if (
@@ -210,10 +212,10 @@
         reported_cold: bool,
         now: Instant,
     ) -> WarmChange | None:
-        """Take the result of one request.
+        """Record the result of one request; return a change of the warm state, if any.
 
-        ``endpoint`` is the object that the request was sent with. A result from
-        before the present incarnation or warm state is ignored. A request that
+        ``endpoint`` is the object with which the request was sent. A result from
+        before the current incarnation or warm state is ignored. A request that
         failed or timed out counts as shed. The entry merges a returned change into
         its table and pushes it to its peers.
         """
@@ -229,11 +231,11 @@
         return self._record_ramp(state, latency_ms, was_shed, reported_cold)
 
     def observe(self, directory: Directory) -> None:
-        """Take a new directory into the history of ownership."""
+        """Add a new directory to the ownership history."""
         self._history.observe(directory)
 
     def retain(self, service: str, keys: Container[EndpointKey]) -> None:
-        """Forget the endpoints of a service that are not among ``keys``."""
+        """Remove the state of a service's endpoints that are not in ``keys``."""
         states = self._services.get(service, {})
         for key in [key for key in states if key not in keys]:
             self._by_id.pop(id(states.pop(key).endpoint), None)
@@ -275,7 +277,7 @@
         return state
 
     def _apply(self, state: _State) -> None:
-        """Set the limit that ``limit`` returns until something changes."""
+        """Compute the limit that ``limit`` returns until the state changes."""
         state.ready_at = float("-inf")
         if state.endpoint.is_leaving:
             state.limit = 0
@@ -341,7 +343,7 @@
         return n_suspects > max(1, int(MAX_SUSPECT_SHARE * len(states)))
 
     def _change(self, state: _State, is_warm: bool, reason: WarmReason) -> WarmChange:
-        """Put the new state into force here before the table has merged it."""
+        """Apply the new warm state locally before the table has merged it."""
         endpoint = state.changed(is_warm)
         self._by_id.pop(id(state.endpoint), None)
         state.endpoint = endpoint
--- a/pollenfold/tests/core/test_claims.py
+++ b/pollenfold/tests/core/test_claims.py
@@ -1,4 +1,4 @@
-"""The claimant's side: what it may conclude from the replies of some replicas."""
+"""The claimant's side of a register: results of claim, abandon and complete."""
 
 import pytest
 
@@ -45,7 +45,7 @@
 
 
 def replies(operation, phase, *answers):
-    """Give the replies of replicas 0, 1, ... (None: no answer); return the last
+    """Pass the replies of replicas 0, 1, ... (None: no reply); return the last
     action."""
     action = None
     for index, reply in enumerate(answers):
@@ -57,7 +57,10 @@
 
 
 def test_majority_at_ballot_0_claims_in_one_round_trip():
-    """Guards against a claim that is granted by one replica only."""
+    """Guards against a claim that succeeds with the vote of a single replica.
+
+    A repeated reply of the same replica must not count as a second vote.
+    """
     operation, _ = claim()
     assert replies(operation, 1, granted()) is None
     assert operation.on_reply(1, 0, granted()) is None
@@ -65,8 +68,8 @@
 
 
 def test_vote_of_a_lost_disk_does_not_count():
-    """Guards against a majority made of a vote from before a lost disk and one from
-    after it."""
+    """Guards against a majority that combines votes granted before and after a replica
+    lost its disk."""
     operation, _ = claim()
     later = granted(epochs=(2, 1, 1))
     assert replies(operation, 1, granted(), later) is None
@@ -83,14 +86,16 @@
     ],
 )
 def test_resend_is_answered_in_one_round_trip(answers, expected):
-    """Guards against a resend that runs again, or waits when no majority answers."""
+    """Guards against a resend that is executed again, or that waits when no majority
+    replies."""
     operation, _ = claim("e")
     actions = [replies(operation, 1, *answers), operation.on_failure(1, 2)]
     assert Finish(expected) in actions
 
 
 def test_own_claim_in_refusals_needs_a_round():
-    """Guards against a dispatch because the own claim id is seen, not chosen."""
+    """Guards against a dispatch when the claimant's id appears in refusals without
+    having been chosen."""
     operation, _ = claim("c")
     action = replies(operation, 1, *[refused(value("claimed", "c"))] * 2)
     assert action == Send(2, Prepare((5, "p")))
@@ -101,7 +106,8 @@
 
 
 def split(operation):
-    """Bring a claim of ``c`` to the promises of a round, one of two votes each."""
+    """Start a round for claim ``c`` after a split vote; return one promise per
+    claim."""
     vote_c = Register(value=value("claimed", "c"))
     vote_d = Register(value=value("claimed", "d"))
     refusal = Reply(False, vote_d, 0.0, EPOCHS)
@@ -110,8 +116,8 @@
 
 
 def test_claimant_in_doubt_keeps_the_other_claim():
-    """Guards against a dispatch from a split vote, and against a doubt that stays
-    although this claimant knows that it did not dispatch."""
+    """Guards against a dispatch from a split vote, and against a value that stays in
+    doubt although this claimant knows that it did not dispatch."""
     operation, _ = claim("c")
     promises = split(operation)
     assert replies(operation, 2, *promises) is None
@@ -121,7 +127,7 @@
 
 
 def test_third_reply_settles_a_split_vote():
-    """Guards against an answer in doubt while the deciding reply is on its way."""
+    """Guards against an in-doubt result while the deciding reply is outstanding."""
     operation, _ = claim("c")
     promises = split(operation)
     assert replies(operation, 2, *promises) is None
@@ -130,7 +136,7 @@
 
 
 def test_third_claimant_finds_a_doubt():
-    """Guards against a claimant that picks one of two claims it knows nothing of."""
+    """Guards against a claimant that chooses one of two claims of other claimants."""
     operation, _ = claim("e")
     promises = split(operation)
     replies(operation, 2, *promises)
@@ -140,8 +146,8 @@
 
 
 def test_competing_round_uses_its_own_ballot():
-    """Guards against a value proposed at the ballot of another claimant, which a
-    refusal during the prepare phase named."""
+    """Guards against a value proposed at the ballot of another claimant, learned from a
+    refusal during the prepare phase."""
     operation, action = start(claims.abandon(3, "p", "c"))
     assert action == Send(1, Prepare((1, "p")))
     other = refused(value("claimed", "d"))
@@ -163,7 +169,7 @@
     ],
 )
 def test_abandon_succeeds_only_for_a_free_key(held, expected):
-    """Guards against did_not_run for a key that another claim may run."""
+    """Guards against did_not_run while another claimant may execute the request."""
     operation, _ = start(claims.abandon(3, "p", "c"))
     register = Register((1, "p"), (0, "z"), held)
     replies(operation, 1, granted(register), granted(register))
@@ -185,7 +191,8 @@
     ],
 )
 def test_complete_never_replaces_an_outcome(held, is_stored):
-    """Guards against a changed outcome, and one stored for another claim."""
+    """Guards against replacing an outcome, and against storing one for another
+    claim."""
     operation, _ = start(claims.complete(3, "p", "c", OUTCOME))
     register = Register((1, "p"), (0, "z"), held)
     action = replies(operation, 1, granted(register), granted(register))
@@ -194,7 +201,7 @@
 
 
 def test_endless_competition_gives_up():
-    """Guards against an operation that never ends while others take every ballot."""
+    """Guards against an operation that never ends while others use higher ballots."""
     operation, action = start(claims.abandon(3, "p", "c"))
     for n in range(1, 20):
         other = refused(value("claimed", "d"), promised=(100 * n, "q"))
--- a/pollenfold/tests/core/test_configuration.py
+++ b/pollenfold/tests/core/test_configuration.py
@@ -35,7 +35,7 @@
     ],
 )
 def test_only_the_next_version_is_accepted(version, error):
-    """Guards against two operators who both succeed with one version."""
+    """Guards against two operators who both store the same version."""
     state = ConfigurationState()
     assert apply_change(state, change("first", 1)).error is None
     before = encode_state(state)
@@ -48,7 +48,7 @@
 
 
 def test_resend_gets_the_first_answer():
-    """Guards against a change that is applied or refused when it arrives again."""
+    """Guards against a resent change that is applied twice or refused."""
     state = ConfigurationState()
     first = apply_change(state, change("x", 1))
     apply_change(state, change("y", 2))
@@ -60,7 +60,7 @@
 
 
 def test_change_id_of_another_record_is_refused():
-    """Guards against an operator who takes the answer to another change as theirs."""
+    """Guards against reporting the result of one change for another."""
     state = ConfigurationState()
     apply_change(state, change("x", 1))
     before = encode_state(state)
@@ -70,7 +70,7 @@
 
 
 def test_answers_of_the_last_4096_changes_are_kept():
-    """Guards against answers that grow without limit, or are dropped too early."""
+    """Guards against results that accumulate without limit or are dropped early."""
     assert MAX_ANSWERS == 4096
     state = ConfigurationState()
     for version in range(1, MAX_ANSWERS + 2):
@@ -84,7 +84,7 @@
     "record", [b"", b"\xff", b"[]", b"{}", b'{"kind":"zone","name":"a","version":"1"}']
 )
 def test_garbage_in_the_log_changes_nothing(record):
-    """Guards against a replica that stops at a command it can't read."""
+    """Guards against a replica that stops at a command it can't decode."""
     state = ConfigurationState()
     answer = apply_change(state, Change("x", record))
     assert answer.error is ErrorKind.BAD_RECORD
@@ -92,7 +92,7 @@
 
 
 def test_changes_survive_their_encoding():
-    """Guards against a command that is read differently from how it was written."""
+    """Guards against a command that is decoded differently from how it was encoded."""
     original = change("id-é", 1)
     assert decode_change(encode_change(original)) == original
     for damaged in (b"", b"\x00", b"\x00\x05ab"):
@@ -124,7 +124,7 @@
 
 
 def test_view_holds_zones_fleet_and_drained_endpoints():
-    """Guards against a zone that is out, or an endpoint that is drained, in use."""
+    """Guards against requests to zones that are out and to drained endpoints."""
     view = build_view(
         3,
         [
--- a/pollenfold/tests/core/test_directory.py
+++ b/pollenfold/tests/core/test_directory.py
@@ -33,7 +33,8 @@
 
 
 def test_new_leader_waits_for_the_leases_of_its_predecessor(directory):
-    """Guards against in force while an entry works under an older revision."""
+    """Guards against a revision reported as in force while an entry, leased by the
+    previous leader, still applies an older one."""
     assert renew(directory, entry("a"), 10) is ErrorKind.NOT_READY
     assert renew(directory, entry("b"), 10, acknowledged=4, holds=True) is None
     assert directory.in_force_revision(4, Instant(SETTLED - 1)) == 0
@@ -43,7 +44,7 @@
 
 
 def test_entry_without_acknowledgement_holds_back_until_its_lease_ended(directory):
-    """Guards against in force that is reported too early, or never."""
+    """Guards against a revision that is reported as in force too early, or never."""
     renew(directory, entry("a"), 3000, acknowledged=1)
     renew(directory, entry("b"), 3000, acknowledged=2)
     assert directory.in_force_revision(2, Instant(3100)) == 1
@@ -55,7 +56,7 @@
 
 
 def test_no_lease_beyond_max_entries(directory):
-    """Guards against a measuring budget that more entries share than agreed."""
+    """Guards against more entries than the probe budget is divided by."""
     for name in "abc":
         renew(directory, entry(name), 3000, limit=3)
     assert renew(directory, entry("d"), 3000, limit=3) is ErrorKind.FLEET_FULL
@@ -66,14 +67,15 @@
 
 
 def test_no_new_entry_while_the_limit_is_not_in_force(directory):
-    """Guards against entries that divide the budget by different numbers."""
+    """Guards against entries that divide the probe budget by different numbers."""
     renew(directory, entry("a"), 3000)
     assert renew(directory, entry("b"), 3000, admits=False) is ErrorKind.NOT_READY
     assert renew(directory, entry("a"), 3000, admits=False) is None
 
 
 def test_restarted_entry_replaces_its_earlier_process(directory):
-    """Guards against in force while the earlier process may still work."""
+    """Guards against a revision reported as in force while the earlier process of an
+    entry may still apply an older one."""
     renew(directory, entry("a", 1), 3000, acknowledged=1)
     before = directory.published_revision(Instant(3000))
     assert renew(directory, entry("a", 2), 3500, acknowledged=2) is None
@@ -84,7 +86,7 @@
 
 
 def test_directory_revisions_rise_with_each_change_and_leader(directory):
-    """Guards against a warm-up owner that overlooks a change of the directory."""
+    """Guards against a warm-up owner that misses a change of the directory."""
     renew(directory, entry("a"), 3000)
     first = directory.published_revision(Instant(3000))
     renew(directory, entry("a"), 3100)
@@ -97,7 +99,7 @@
 
 
 def test_leave_notices_are_kept_60_s():
-    """Guards against notices that are lost early or grow without limit."""
+    """Guards against notices that are dropped early or accumulate without limit."""
     notices = LeaveNotices()
     notice = LeaveNotice("10.0.0.1:80", "s", 5)
     assert notices.add(notice, 10_000, Instant(100_000))
--- a/pollenfold/tests/core/test_membership.py
+++ b/pollenfold/tests/core/test_membership.py
@@ -27,7 +27,7 @@
 
 
 def test_late_announcement_does_not_return_a_leaving_endpoint(table):
-    """Guards against new work for a server that has started to leave."""
+    """Guards against new requests to a leaving server after a delayed announcement."""
     table.merge(make_endpoint(), at(0))
     table.merge(make_endpoint(heartbeat=2, is_leaving=True), at(1))
     assert table.merge(make_endpoint(heartbeat=9), at(2)) is MergeOutcome.RENEWED
@@ -41,7 +41,8 @@
 
 @pytest.mark.parametrize("is_known", [True, False])
 def test_leave_notice_holds_against_announcements(table, is_known):
-    """Guards against a notice that is lost because it came before the endpoint."""
+    """Guards against a notice that is lost because it arrived before the endpoint's
+    first announcement."""
     if is_known:
         table.merge(make_endpoint(), at(0))
     assert table.apply_leave_notice(NOTICE, at(1)) is MergeOutcome.LEFT
@@ -51,22 +52,22 @@
 
 
 def test_leave_notice_of_an_older_incarnation_is_ignored(table):
-    """Guards against a restarted server that an old notice takes out."""
+    """Guards against an old notice that removes a restarted server."""
     table.merge(make_endpoint(incarnation=2), at(0))
     assert table.apply_leave_notice(NOTICE, at(1)) is MergeOutcome.UNCHANGED
     assert len(table.endpoints(SERVICE)) == 1
 
 
 def test_leave_notices_are_repeated_for_a_minute(table):
-    """Guards against a new control leader that never hears of a leave."""
+    """Guards against a new control leader that never receives a leave notice."""
     table.merge(make_endpoint(is_leaving=True), at(0), age_ms=20_000)
     assert table.leave_notices(at(39_000)) == (NOTICE,)
     assert table.leave_notices(at(41_000)) == ()
 
 
 def test_endpoint_without_new_heartbeats_expires(table):
-    """Guards against work for a dead server, and against a peer's stale entry
-    or a change of the warm state that keeps it alive."""
+    """Guards against requests to a crashed server, and against a peer's stale entry or
+    a change of the warm state that prevents its expiry."""
     table.merge(make_endpoint(), at(0))
     table.merge(make_endpoint(heartbeat=2), at(4000))
     assert table.expire(at(9000)) == ()
@@ -80,7 +81,8 @@
 
 
 def test_age_counts_towards_expiry(table):
-    """Guards against a dead endpoint that stays alive by copies between tables."""
+    """Guards against a crashed endpoint that never expires because tables copy it from
+    each other."""
     table.merge(make_endpoint(), at(0), age_ms=4000)
     assert len(table.expire(at(1001))) == 1
     table.merge(make_endpoint(heartbeat=2), at(1002), age_ms=6000)
@@ -88,7 +90,7 @@
 
 
 def test_renewal_keeps_the_tuple_of_the_call_path(table):
-    """Guards against a table that rebuilds its tuples for every heartbeat."""
+    """Guards against rebuilding the tuple of endpoints for every heartbeat."""
     table.merge(make_endpoint(), at(0))
     before = table.endpoints(SERVICE)
     table.merge(make_endpoint(heartbeat=2), at(1))
@@ -105,14 +107,14 @@
     ],
 )
 def test_merge_of_warm_states(left, right, expected):
-    """Guards against full load on a server that another entry saw turn cold."""
+    """Guards against full load on a server that another entry detected as cold."""
     a, b = make_endpoint(warm=left), make_endpoint(warm=right)
     assert merge_endpoints(a, b).warm == expected
     assert merge_endpoints(b, a).warm == expected
 
 
 def test_equal_tables_exchange_only_counters(table):
-    """Guards against an exchange that resends endpoints for renewals."""
+    """Guards against an exchange that resends complete endpoints for renewals."""
     other = EndpointTable()
     for n in range(100):
         for t in (table, other):
@@ -126,7 +128,7 @@
 
 
 def test_counter_that_passes_16_bits_is_exchanged(table):
-    """Guards against a counter whose low bits wrap and look older."""
+    """Guards against a counter that is ignored because its low 16 bits wrapped."""
     other = EndpointTable()
     table.merge(make_endpoint(heartbeat=65_537), at(0))
     other.merge(make_endpoint(heartbeat=65_535), at(0))
@@ -136,7 +138,7 @@
 
 
 def test_difference_is_bounded(table):
-    """Guards against one answer with the whole of a large table."""
+    """Guards against a response that contains a complete large table."""
     for n in range(500):
         table.merge(make_endpoint(port=1000 + n), at(0))
     difference = table.difference(EndpointTable().digest(), at(1), max_entries=100)
--- a/pollenfold/tests/core/test_orders.py
+++ b/pollenfold/tests/core/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders of the replicated log, and the announcements they bind."""
+"""Commands of the replicated log, and their effect on announced endpoints."""
 
 import json
 import random
@@ -43,19 +43,19 @@
     "order", [Configure(3, '{"x": 1}'), Evacuate("a", True), Depart("i-1", 5)]
 )
 def test_orders_survive_encoding(order):
-    """Guards against an order that means something else after the log."""
+    """Guards against a command that changes when it is encoded and decoded."""
     assert decode_order(encode_order(order)) == order
 
 
 @pytest.mark.parametrize("command", [b"", b"\xff", b"[]", b'["configure", "3", 1]'])
 def test_other_bytes_are_no_order(command):
-    """Guards against a damaged command that ends the process."""
+    """Guards against a malformed command that terminates the process."""
     with pytest.raises(ValueError):
         decode_order(command)
 
 
 def test_highest_version_is_in_force():
-    """Guards against an older or equal version that replaces the newest."""
+    """Guards against a configuration replaced by one of an older or equal version."""
     orders = Orders()
     assert orders.apply(1, Configure(5, "five"))
     assert not orders.apply(2, Configure(5, "other five"))
@@ -64,7 +64,7 @@
 
 
 def test_orders_survive_a_snapshot():
-    """Guards against an acknowledged order that a snapshot loses."""
+    """Guards against an acknowledged command whose effect a snapshot loses."""
     orders = Orders()
     orders.apply(1, Configure(5, "five"))
     orders.apply(2, Evacuate("a", True))
@@ -73,7 +73,7 @@
 
 
 def test_departures_are_bounded():
-    """Guards against a state that grows with every endpoint that ever left."""
+    """Guards against replicated state that grows with every departure."""
     orders = Orders()
     for number in range(MAX_DEPARTURES + 5):
         orders.apply(number, Depart(f"i-{number}", 1))
@@ -82,8 +82,8 @@
 
 
 def test_departure_binds_one_life():
-    """Guards against a late announcement that brings a leaver back, and against a
-    restarted endpoint under its old id that gets no work."""
+    """Guards against a late announcement that returns a departed endpoint to service,
+    and against an endpoint that gets no requests after a restart under its old id."""
     orders = Orders()
     orders.apply(1, Depart("i-1", 1000))
     assert not may_get_work(announcement(sequence=99), orders)
@@ -91,7 +91,7 @@
 
 
 def test_evacuated_zone_gets_no_work():
-    """Guards against work in a zone that was taken out."""
+    """Guards against requests to endpoints of an evacuated zone."""
     orders = Orders()
     orders.apply(1, Evacuate("a", True))
     assert not may_get_work(announcement(), orders)
@@ -100,7 +100,7 @@
 
 
 def test_older_word_of_one_life_is_ignored():
-    """Guards against an announcement that was delayed on its way."""
+    """Guards against a delayed announcement that replaces a newer one."""
     registry = Registry()
     assert registry.merge(announcement(sequence=5, is_leaving=True), 0.0)
     assert not registry.merge(announcement(sequence=4), 1.0)
@@ -108,7 +108,7 @@
 
 
 def test_sequence_starts_anew_with_a_later_life():
-    """Guards against a restarted endpoint whose low sequence counts as old."""
+    """Guards against ignoring a restarted endpoint because its sequence restarts."""
     registry = Registry()
     registry.merge(announcement(sequence=50), 0.0)
     assert registry.merge(announcement(sequence=1, born_ms=2000), 1.0)
@@ -116,7 +116,8 @@
 
 
 def test_address_belongs_to_the_one_born_last():
-    """Guards against requests to the address of an endpoint that is gone."""
+    """Guards against an address that is assigned to an earlier endpoint by a delayed
+    announcement."""
     registry = Registry()
     registry.merge(announcement("old", born_ms=1000), 0.0)
     assert registry.merge(announcement("new", born_ms=2000), 1.0)
@@ -126,7 +127,7 @@
 
 
 def test_endpoint_may_move_to_another_address():
-    """Guards against an address that stays taken by one that moved away."""
+    """Guards against an address that stays assigned to an endpoint after it moved."""
     registry = Registry()
     registry.merge(announcement(sequence=1), 0.0)
     registry.merge(announcement(sequence=2, port=81), 1.0)
@@ -134,7 +135,7 @@
 
 
 def test_silent_endpoints_expire():
-    """Guards against endpoints that crashed and are kept for ever."""
+    """Guards against keeping crashed endpoints indefinitely."""
     registry = Registry()
     registry.merge(announcement("quiet"), 0.0)
     registry.merge(announcement("alive", port=81), 0.0)
@@ -145,7 +146,7 @@
 
 
 def test_only_news_is_passed_on():
-    """Guards against a message to every entry for each heartbeat."""
+    """Guards against sending every heartbeat to every entry."""
     registry = Registry()
     registry.merge(announcement(warmup_left_ms=900.0), 0.0)
     assert not registry.merge(announcement(sequence=2, warmup_left_ms=400.0), 1.0)
@@ -154,7 +155,7 @@
 
 
 def test_announcement_survives_encoding():
-    """Guards against fields that change places on their way to an entry."""
+    """Guards against fields that are decoded in a different order."""
     known = announcement(warmup_left_ms=12.5, is_leaving=True)
     assert decode_announcement(known.encode()) == known
     with pytest.raises(ValueError):
@@ -163,8 +164,8 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_reader_that_gets_only_what_it_lacks_holds_all_orders(seed):
-    """Guards against a departure or a configuration that a reader misses for ever
-    because it asked in between, or asked a replica that came from a snapshot."""
+    """Guards against a departure or configuration that a subscriber never receives,
+    because it fetched updates in between or from a replica restored from a snapshot."""
     rng = random.Random(seed)
     held, reader = Orders(), Orders()
     for index in range(1, 200):
@@ -185,7 +186,7 @@
 
 
 def test_only_a_changed_configuration_is_sent():
-    """Guards against the whole configuration on the link of every entry whenever an
+    """Guards against sending the complete configuration to every entry whenever an
     endpoint leaves."""
     held = Orders()
     held.apply(1, Configure(1, "x" * 50_000))
@@ -197,7 +198,7 @@
 
 
 def test_orders_on_top_of_unknown_ones_are_rejected():
-    """Guards against a reader that takes a difference for the whole."""
+    """Guards against a subscriber that accepts a difference as the complete state."""
     held = Orders()
     held.apply(5, Configure(1, "one"))
     with pytest.raises(ValueError):
--- a/pollenfold/tests/core/test_register.py
+++ b/pollenfold/tests/core/test_register.py
@@ -1,4 +1,4 @@
-"""The register of one key on one replica, and what a majority of them means."""
+"""The register of one key on a replica, and recovery from a majority of replicas."""
 
 import pytest
 
@@ -65,15 +65,15 @@
     ],
 )
 def test_what_a_replica_grants(register, message, is_granted):
-    """Guards against two votes of one replica, and against a broken promise."""
+    """Guards against two votes by one replica, and against violating a promise."""
     after, granted = handle(register, message, NOW)
     assert granted is is_granted
     assert is_granted or after is register
 
 
 def test_repeated_value_keeps_its_age():
-    """Guards against a claim that looks in progress for ever, because resends of
-    its key store it again."""
+    """Guards against a claim that stays in progress indefinitely because resends of its
+    key store it again."""
     register, _ = handle(C, Accept(BALLOT, claimed("c")), Instant(9000.0))
     assert register.changed_at == NOW
     register, _ = handle(register, Accept(BALLOT, COMPLETED), Instant(9000.0))
@@ -103,7 +103,7 @@
     ],
 )
 def test_recovered_value(n_replicas, promises, expected):
-    """Guards against a recovery that forgets a claim which may have a majority."""
+    """Guards against a recovery that omits a claim which may have a majority."""
     aged = [(register, 0.0) for register in promises]
     assert recover(aged, n_replicas) == expected
 
@@ -119,8 +119,8 @@
     ],
 )
 def test_copy_after_a_lost_disk(copies, value, is_unknown):
-    """Guards against a replica that returns with a vote it may not have given, and
-    against one that forgets a promise of its lost disk."""
+    """Guards against a replica that loses its disk and returns with a vote it may not
+    have granted, or without a promise it made."""
     promised = Register(promised=(7, "q"))
     merged = merge_copies([(register, 0.0) for register in [*copies, promised]])
     assert (merged.value, merged.is_vote_unknown) == (value, is_unknown)
@@ -130,8 +130,8 @@
 @pytest.mark.parametrize("old", [ABANDONED, COMPLETED])
 @pytest.mark.parametrize("age_ms, is_doubt", [(LATE, True), (LATE / 2, False)])
 def test_claim_beside_an_expiring_value_is_in_doubt(old, age_ms, is_doubt):
-    """Guards against a second run when one replica still holds a value that the
-    others dropped by age before they accepted a new claim."""
+    """Guards against a second execution when one replica still holds a value that the
+    others had dropped by age before they accepted a new claim."""
     aged = [(D, 10.0), (accepted(old), age_ms)]
     value = recover(aged, 3)
     assert (value.state is State.IN_DOUBT) is is_doubt
@@ -151,8 +151,8 @@
     ],
 )
 def test_retention(register, is_dropped):
-    """Guards against a claim without outcome, or a promise of a round in progress,
-    that is dropped by age."""
+    """Guards against dropping by age a claim without an outcome, or a promise of a
+    round in progress."""
     assert is_droppable(register, Instant(RETENTION_MS)) is is_dropped
     assert not is_droppable(register, Instant(RETENTION_MS - 1))
 
@@ -169,5 +169,5 @@
     ],
 )
 def test_withdrawn_claim(value, expected):
-    """Guards against a withdrawal that frees a key which another claim may hold."""
+    """Guards against a withdrawal that releases a key held by another claim."""
     assert withdraw(value, "c") == expected
--- a/pollenfold/tests/core/test_warming.py
+++ b/pollenfold/tests/core/test_warming.py
@@ -1,4 +1,4 @@
-"""Warm-up: owner, ramp, handover and the detection of cold endpoints."""
+"""Warm-up: ownership, ramp, handover, and detection of cold endpoints."""
 
 from dataclasses import replace
 
@@ -32,16 +32,16 @@
 
 
 def endpoint_of(owner, entry_ids):
-    """Return a cold endpoint that the entry warms up."""
+    """Return a cold endpoint whose warm-up owner is ``owner``."""
     for port in range(1000, 2000):
         endpoint = make_endpoint(port=port)
         if warmup_owner(entry_ids, endpoint.key) == owner:
             return endpoint
-    raise AssertionError("no endpoint")
+    raise AssertionError("the entry owns no endpoint in the port range")
 
 
 class Sender:
-    """One entry with the time at which it acts."""
+    """The warm-up controller of one entry, with a simulated clock."""
 
     def __init__(self, entry_id="e1"):
         self.controller = WarmupController(entry_id, LEASE_MS)
@@ -70,7 +70,7 @@
 
 def test_ramp_grows_with_responses_until_warm(sender):
     """Guards against a ramp that skips steps or never ends, or that grows while the
-    server gets no requests."""
+    server receives no requests."""
     assert sender.limit(COLD) == SPEC.cold_slots
     sender.now = Instant(sender.now + 3.6e6)
     sender.record(COLD, SUCCESSES_PER_SLOT - 1)
@@ -84,8 +84,8 @@
 
 
 def test_ramp_falls_back_on_shedding_and_slowness(sender):
-    """Guards against a ramp that goes on over what the cold server can handle, or
-    that ignores the server's own report."""
+    """Guards against a ramp that exceeds the capacity of the cold server, or that
+    ignores the server's own report."""
     sender.limit(COLD)
     sender.record(COLD, 100, cold=True)
     assert sender.limit(COLD) == SPEC.cold_slots
@@ -102,7 +102,7 @@
 
 
 def test_only_the_owner_sends_to_a_cold_endpoint():
-    """Guards against a cold server that every entry tries at the same time."""
+    """Guards against every entry sending requests to a cold server at the same time."""
     ids = ("e1", "e2", "e3")
     endpoint = endpoint_of("e2", ids)
     limits = {
@@ -113,7 +113,7 @@
 
 
 def test_new_owner_waits_for_the_previous_one(sender):
-    """Guards against two owners at once after a directory change."""
+    """Guards against two simultaneous owners after a directory change."""
     endpoint = endpoint_of("e1", ("e1", "e2"))
     first = directory(1, "e2", seen=0)
     assert sender.limit(endpoint, first) == 0
@@ -127,8 +127,8 @@
 
 @pytest.mark.parametrize("revision, expected", [(2, 1), (3, 0), (1, 0)])
 def test_ownership_counts_over_successive_revisions_only(sender, revision, expected):
-    """Guards against an owner in a revision that this entry missed, and against a
-    ramp that stops for every change that does not concern it."""
+    """Guards against a second owner when this entry missed a revision, and against a
+    ramp that restarts on every unrelated change of the directory."""
     endpoint = endpoint_of("e1", ("e1", "e2", "e3"))
     assert sender.limit(endpoint, directory(1, "e1", "e2")) == 1
     later = directory(revision, "e1", "e2", "e3", seen=sender.now)
@@ -136,8 +136,8 @@
 
 
 def test_former_owner_stops_and_starts_anew(sender):
-    """Guards against an owner that goes on after a change, or that continues its
-    old ramp when the endpoint is its own again."""
+    """Guards against an owner that keeps sending after losing ownership, or that
+    resumes its old ramp when it owns the endpoint again."""
     endpoint = endpoint_of("e2", ("e1", "e2"))
     sender.limit(endpoint)
     sender.record(endpoint, SUCCESSES_PER_SLOT)
@@ -150,7 +150,7 @@
 
 
 def test_returned_zone_is_cold(sender):
-    """Guards against full load on the servers of a zone that comes back."""
+    """Guards against full load on the servers of a zone that returns to service."""
     warm = make_endpoint(warm=WarmState(1, True, 4))
     assert sender.limit(warm, zone_version=4) == 6
     assert sender.limit(warm, zone_version=6) == SPEC.cold_slots
@@ -159,8 +159,8 @@
 
 
 def test_new_incarnation_is_cold(sender):
-    """Guards against full load on a restarted server, or the ramp that its earlier
-    incarnation had reached."""
+    """Guards against full load on a restarted server, and against resuming the ramp of
+    its earlier incarnation."""
     assert sender.limit(WARM) == 6
     second = make_endpoint(incarnation=2)
     assert sender.limit(second) == SPEC.cold_slots
@@ -170,7 +170,7 @@
 
 @pytest.mark.parametrize("n_entries, expected", [(1, 6), (4, 3), (19, 2)])
 def test_warm_slots_are_shared(sender, n_entries, expected):
-    """Guards against a warm server whose slots every entry uses in full."""
+    """Guards against every entry using all slots of a warm server."""
     ids = ["e1", *(f"x{n}" for n in range(1, n_entries))]
     assert sender.limit(WARM, directory(1, *ids)) == expected
 
@@ -184,8 +184,8 @@
     ],
 )
 def test_warm_endpoint_that_turns_cold(sender, signs, reason):
-    """Guards against full load on a warm server that turned cold, also before the
-    table has merged the change."""
+    """Guards against full load on a server that became cold, also before the table has
+    merged the change."""
     sender.limit(WARM)
     assert sender.record(WARM, 50) == []
     changes = sender.record(WARM, **signs)
@@ -196,7 +196,7 @@
 
 
 def test_scattered_signs_do_not_turn_an_endpoint_cold(sender):
-    """Guards against ordinary variance that takes capacity out."""
+    """Guards against removing capacity because of ordinary variance."""
     sender.limit(WARM)
     sender.record(WARM, 50)
     for _ in range(50):
@@ -206,7 +206,8 @@
 
 
 def test_overload_of_a_service_is_not_coldness(sender):
-    """Guards against a burst that turns all endpoints cold and so gets worse."""
+    """Guards against a burst that marks all endpoints as cold, which would reduce
+    capacity and worsen the overload."""
     endpoints = [replace(WARM, port=1000 + n) for n in range(12)]
     for endpoint in endpoints:
         sender.limit(endpoint)
@@ -215,13 +216,13 @@
     for endpoint in endpoints:
         changes += sender.record(endpoint, N_SHEDS, shed=True)
     assert 0 < len(changes) <= 4
-    # The server's own report is always believed.
+    # The server's own report is always accepted.
     assert len(sender.record(endpoints[-1], cold=True)) == 1
 
 
 def test_late_result_of_an_earlier_state_is_ignored(sender):
-    """Guards against responses to old requests that grow a new ramp, or that turn
-    an endpoint cold again which has just become warm."""
+    """Guards against responses to earlier requests that advance a new ramp, or that
+    mark an endpoint as cold which has just become warm."""
     sender.limit(COLD)
     sender.limit(WARM)
     assert sender.record(COLD, cold=True) == []
@@ -231,7 +232,7 @@
 
 
 def test_forgotten_endpoints_leave_no_state(sender):
-    """Guards against memory that grows with every server that ever existed."""
+    """Guards against keeping state for every server that ever existed."""
     sender.limit(COLD)
     sender.controller.retain(COLD.service, set())
     assert not sender.controller._by_id
@@ -239,8 +240,8 @@
 
 
 def test_owners_are_spread_and_stable():
-    """Guards against one entry that warms up everything, and against a change that
-    moves the endpoints of entries which stayed."""
+    """Guards against one entry that owns most endpoints, and against an entry change
+    that reassigns endpoints of the remaining entries."""
     ids = tuple(f"entry-{n}" for n in range(12))
     keys = [make_endpoint(port=1000 + n).key for n in range(600)]
     before = [warmup_owner(ids, key) for key in keys]
