--- a/pollenfold/core/claims.py
+++ b/pollenfold/core/claims.py
@@ -141,7 +141,7 @@
         self._decide = decide
         self.unavailable = unavailable
         self._claim = claim
-        self._claimed = claimed
+        self._claimed_result = claimed
         self._message: Message | None = None
         self._phase = 0
         self._n_rounds = 0
@@ -150,7 +150,7 @@
         self._replies: dict[int, Reply] = {}
         self._failed: set[int] = set()
         self._epochs = (0,) * n_replicas
-        self._answer: T | None = None
+        self._result: T | None = None
 
     def start(self) -> Action[T]:
         """Return the first action."""
@@ -171,14 +171,14 @@
         self._epochs = tuple(map(max, self._epochs, reply.epochs))
         self._highest = max(self._highest, reply.register.promised)
         self._replies[replica] = reply
-        return self._advance()
+        return self._evaluate_replies()
 
     def on_failure(self, phase: int, replica: int) -> Action[T] | None:
         """Record a replica's missing reply; return the next action, if any."""
         if phase != self._phase or replica in self._replies:
             return None
         self._failed.add(replica)
-        return self._advance()
+        return self._evaluate_replies()
 
     def _send(self, message: Message) -> Send:
         self._phase += 1
@@ -187,9 +187,9 @@
         self._failed = set()
         return Send(self._phase, message)
 
-    def _finish(self, answer: T) -> Finish[T]:
+    def _finish(self, result: T) -> Finish[T]:
         self._phase += 1
-        return Finish(answer)
+        return Finish(result)
 
     def _pause(self) -> Action[T]:
         if self._n_rounds >= MAX_ROUNDS:
@@ -197,7 +197,7 @@
         self._phase += 1
         return Pause(self._n_rounds)
 
-    def _valid(self) -> list[Reply]:
+    def _valid_replies(self) -> list[Reply]:
         """Return the replies of replicas that have not lost their disk since."""
         return [
             reply
@@ -205,8 +205,8 @@
             if reply.epochs[replica] >= self._epochs[replica]
         ]
 
-    def _advance(self) -> Action[T] | None:
-        valid = self._valid()
+    def _evaluate_replies(self) -> Action[T] | None:
+        valid = self._valid_replies()
         granted = [reply for reply in valid if reply.is_granted]
         n_missing = self._n_replicas - len(self._replies) - len(self._failed)
         if len(granted) >= self._majority:
@@ -216,16 +216,16 @@
         if len(valid) < self._majority:
             return self._finish(self.unavailable) if n_missing == 0 else None
         if isinstance(self._message, Claim):
-            return self._after_split(valid)
+            return self._resolve_split_vote(valid)
         return self._pause()
 
     def _on_majority(self, granted: list[Reply], n_missing: int) -> Action[T] | None:
         if isinstance(self._message, Claim):
-            assert self._claimed is not None
-            return self._finish(self._claimed)
+            assert self._claimed_result is not None
+            return self._finish(self._claimed_result)
         if isinstance(self._message, Accept):
-            assert self._answer is not None
-            return self._finish(self._answer)
+            assert self._result is not None
+            return self._finish(self._result)
         promises = [(reply.register, reply.age_ms) for reply in granted]
         value = recover(promises, self._n_replicas)
         is_new_doubt = value.state is State.IN_DOUBT and all(
@@ -234,10 +234,10 @@
         if is_new_doubt and n_missing:
             # The missing replies often leave only one claim that can have a majority.
             return None
-        new_value, self._answer = self._decide(value, _age_ms(value, granted))
+        new_value, self._result = self._decide(value, _age_ms(value, granted))
         return self._send(Accept(self._ballot, new_value))
 
-    def _after_split(self, valid: list[Reply]) -> Action[T]:
+    def _resolve_split_vote(self, valid: list[Reply]) -> Action[T]:
         """Finish if a majority holds one value of another claimant, else start a round.
 
         That value need not be chosen, but a result about another claim never permits
@@ -250,10 +250,10 @@
             is_own = self._claim.claim_id in value.claim_ids
             if is_own or value.state not in (State.CLAIMED, State.COMPLETED):
                 continue
-            same = [other for other in valid if other.register.value == value]
-            if len(same) >= self._majority:
-                _, answer = self._decide(value, _age_ms(value, same))
-                return self._finish(answer)
+            matching = [other for other in valid if other.register.value == value]
+            if len(matching) >= self._majority:
+                _, result = self._decide(value, _age_ms(value, matching))
+                return self._finish(result)
         return self.resume()
 
 
@@ -279,15 +279,15 @@
     """
 
     def decide(value: Value, age_ms: float) -> tuple[Value, ClaimAnswer]:
-        rest = withdraw(value, claim_id)
-        if rest.state in (State.EMPTY, State.ABANDONED):
+        remaining = withdraw(value, claim_id)
+        if remaining.state in (State.EMPTY, State.ABANDONED):
             return Value(State.CLAIMED, (claim_id,)), Claimed()
-        if rest.state is State.COMPLETED:
-            assert rest.outcome is not None
-            return rest, Completed(rest.outcome)
-        if rest.state is State.CLAIMED and age_ms < max_age_ms:
-            return rest, InProgress()
-        return rest, InDoubt()
+        if remaining.state is State.COMPLETED:
+            assert remaining.outcome is not None
+            return remaining, Completed(remaining.outcome)
+        if remaining.state is State.CLAIMED and age_ms < max_age_ms:
+            return remaining, InProgress()
+        return remaining, InDoubt()
 
     return Operation[ClaimAnswer](
         n_replicas, proposer, decide, Unavailable(), Claim(claim_id), Claimed()
@@ -305,12 +305,12 @@
     """
 
     def decide(value: Value, _: float) -> tuple[Value, Result[None, ErrorKind]]:
-        rest = withdraw(value, claim_id)
-        if rest.state in (State.EMPTY, State.ABANDONED):
+        remaining = withdraw(value, claim_id)
+        if remaining.state in (State.EMPTY, State.ABANDONED):
             return Value(State.ABANDONED, (claim_id,)), Ok(None)
-        is_claimed = rest.state is State.CLAIMED
+        is_claimed = remaining.state is State.CLAIMED
         kind = ErrorKind.IN_PROGRESS if is_claimed else ErrorKind.OUTCOME_UNKNOWN
-        return rest, Error(kind)
+        return remaining, Error(kind)
 
     unavailable: Result[None, ErrorKind] = Error(ErrorKind.LEDGER_UNAVAILABLE)
     return Operation[Result[None, ErrorKind]](n_replicas, proposer, decide, unavailable)
--- a/pollenfold/core/configuration.py
+++ b/pollenfold/core/configuration.py
@@ -24,7 +24,7 @@
     ZoneSpec,
 )
 
-MAX_ANSWERS = 4096
+MAX_RESULTS = 4096
 """Results kept for resent changes: more than five days at 730 changes a day."""
 
 DEFAULT_MAX_ENTRIES = 19
@@ -105,22 +105,22 @@
     record the error is ``BAD_REQUEST``.
     """
     digest = xxhash.xxh3_64_intdigest(change.record)
-    first = state.answers.get(change.change_id)
-    if first is not None:
-        if first.digest == digest:
-            return first
+    first_result = state.answers.get(change.change_id)
+    if first_result is not None:
+        if first_result.digest == digest:
+            return first_result
         detail = f"change id {change.change_id} was used for a different record"
         return Answer(
             change.change_id, state.revision, ErrorKind.BAD_REQUEST, detail, digest
         )
-    answer = _decide(state, change, digest)
-    state.answers[change.change_id] = answer
-    while len(state.answers) > MAX_ANSWERS:
+    result = _apply_new_change(state, change, digest)
+    state.answers[change.change_id] = result
+    while len(state.answers) > MAX_RESULTS:
         del state.answers[next(iter(state.answers))]
-    return answer
+    return result
 
 
-def _decide(state: ConfigurationState, change: Change, digest: int) -> Answer:
+def _apply_new_change(state: ConfigurationState, change: Change, digest: int) -> Answer:
     try:
         fields = json.loads(change.record)
         kind, name, version = fields["kind"], fields["name"], fields["version"]
--- a/pollenfold/core/directory.py
+++ b/pollenfold/core/directory.py
@@ -13,7 +13,7 @@
 LEASE_MARGIN_MS = 50.0
 """Covers clock rate differences: 2.5% of a lease, far above any real clock drift."""
 
-NOTICE_KEPT_MS = 60_000.0
+NOTICE_RETENTION_MS = 60_000.0
 """How long a leave notice is distributed; by then its endpoint has expired."""
 
 MAX_EPOCH_CHANGES = 1 << 24
@@ -48,14 +48,14 @@
 @dataclass(slots=True)
 class _Lease:
     entry: LiveEntry
-    until: Instant
-    acknowledged: int
+    expires_at: Instant
+    acknowledged_revision: int
 
 
 @dataclass(frozen=True, slots=True)
-class _Notice:
+class _StoredNotice:
     notice: LeaveNotice
-    noted_at: Instant
+    left_at: Instant
     sequence: int
 
 
@@ -66,41 +66,41 @@
     """
 
     def __init__(self) -> None:
-        self._notices: dict[str, _Notice] = {}
+        self._notices: dict[str, _StoredNotice] = {}
         self.sequence = 0
 
     def add(self, notice: LeaveNotice, age_ms: float, now: Instant) -> bool:
         """Store a notice of the given age; return whether it is new."""
-        if not 0 <= age_ms < NOTICE_KEPT_MS:
+        if not 0 <= age_ms < NOTICE_RETENTION_MS:
             return False
-        known = self._notices.get(notice.endpoint)
-        if known is not None and known.notice.incarnation >= notice.incarnation:
+        previous = self._notices.get(notice.endpoint)
+        if previous is not None and previous.notice.incarnation >= notice.incarnation:
             return False
         self.sequence += 1
-        noted_at = Instant(now - age_ms)
+        left_at = Instant(now - age_ms)
         # Removing the key first keeps the dictionary sorted by sequence number.
         self._notices.pop(notice.endpoint, None)
-        self._notices[notice.endpoint] = _Notice(notice, noted_at, self.sequence)
+        self._notices[notice.endpoint] = _StoredNotice(notice, left_at, self.sequence)
         return True
 
     def since(
         self, sequence: int, now: Instant
     ) -> list[tuple[int, LeaveNotice, float]]:
         """Return the notices after ``sequence``, each with its number and age in ms."""
-        self._drop_old(now)
+        self._drop_expired(now)
         return [
-            (kept.sequence, kept.notice, now - kept.noted_at)
+            (kept.sequence, kept.notice, now - kept.left_at)
             for kept in self._notices.values()
             if kept.sequence > sequence
         ]
 
-    def _drop_old(self, now: Instant) -> None:
-        old = [
+    def _drop_expired(self, now: Instant) -> None:
+        expired = [
             endpoint
             for endpoint, kept in self._notices.items()
-            if now - kept.noted_at >= NOTICE_KEPT_MS
+            if now - kept.left_at >= NOTICE_RETENTION_MS
         ]
-        for endpoint in old:
+        for endpoint in expired:
             del self._notices[endpoint]
 
 
@@ -123,7 +123,7 @@
         self._leases: dict[tuple[str, int], _Lease] = {}
         self._published: dict[str, LiveEntry] = {}
         self._n_changes = 1
-        self._in_force = 0
+        self._in_force_revision = 0
 
     def is_settled(self, now: Instant) -> bool:
         """Return whether every lease of the previous leader has expired."""
@@ -144,10 +144,12 @@
 
     def expire(self, now: Instant) -> bool:
         """Remove expired leases; return whether the directory changed."""
-        ended = [key for key, lease in self._leases.items() if now >= lease.until]
-        for key in ended:
+        expired = [
+            key for key, lease in self._leases.items() if now >= lease.expires_at
+        ]
+        for key in expired:
             del self._leases[key]
-        return bool(ended) and self._publish()
+        return bool(expired) and self._publish()
 
     def check(
         self,
@@ -164,9 +166,9 @@
         """
         self.expire(now)
         for lease in self._leases.values():
-            other = lease.entry
-            if other.entry_id == entry.entry_id:
-                if other.incarnation > entry.incarnation:
+            leased = lease.entry
+            if leased.entry_id == entry.entry_id:
+                if leased.incarnation > entry.incarnation:
                     detail = f"a newer process uses the entry id {entry.entry_id}"
                     return Failure(ErrorKind.BAD_REQUEST, detail)
         key = (entry.entry_id, entry.incarnation)
@@ -188,14 +190,14 @@
 
     def grant(self, entry: LiveEntry, acknowledged: int, now: Instant) -> bool:
         """Grant or renew a lease from now on; return whether the directory changed."""
-        until = add_ms(now, self.lease_ms + LEASE_MARGIN_MS)
+        expires_at = add_ms(now, self.lease_ms + LEASE_MARGIN_MS)
         key = (entry.entry_id, entry.incarnation)
         lease = self._leases.get(key)
         if lease is None:
-            self._leases[key] = _Lease(entry, until, acknowledged)
+            self._leases[key] = _Lease(entry, expires_at, acknowledged)
             return self._publish()
-        lease.until = max(lease.until, until)
-        lease.acknowledged = max(lease.acknowledged, acknowledged)
+        lease.expires_at = max(lease.expires_at, expires_at)
+        lease.acknowledged_revision = max(lease.acknowledged_revision, acknowledged)
         if lease.entry != entry:
             lease.entry = entry
             return self._publish()
@@ -205,7 +207,7 @@
         """Record the revision that an entry with a lease has applied."""
         lease = self._leases.get((entry.entry_id, entry.incarnation))
         if lease is not None:
-            lease.acknowledged = max(lease.acknowledged, acknowledged)
+            lease.acknowledged_revision = max(lease.acknowledged_revision, acknowledged)
 
     def in_force_revision(self, revision: int, now: Instant) -> int:
         """Return the highest revision in force; ``revision`` is the newest one.
@@ -216,27 +218,29 @@
         self.expire(now)
         if self.is_settled(now):
             lowest = min(
-                (lease.acknowledged for lease in self._leases.values()),
+                (lease.acknowledged_revision for lease in self._leases.values()),
                 default=revision,
             )
-            self._in_force = max(self._in_force, min(lowest, revision))
-        return self._in_force
+            self._in_force_revision = max(
+                self._in_force_revision, min(lowest, revision)
+            )
+        return self._in_force_revision
 
     def entries_behind(self, revision: int, now: Instant) -> list[str]:
         """Return the ids of leased entries that have applied only an older revision."""
         self.expire(now)
-        behind = {
+        outdated = {
             lease.entry.entry_id
             for lease in self._leases.values()
-            if lease.acknowledged < revision
+            if lease.acknowledged_revision < revision
         }
-        return sorted(behind)
+        return sorted(outdated)
 
     def _publish(self) -> bool:
         published: dict[str, LiveEntry] = {}
         for lease in self._leases.values():
-            known = published.get(lease.entry.entry_id)
-            if known is None or known.incarnation < lease.entry.incarnation:
+            listed = published.get(lease.entry.entry_id)
+            if listed is None or listed.incarnation < lease.entry.incarnation:
                 published[lease.entry.entry_id] = lease.entry
         if published == self._published:
             return False
--- a/pollenfold/core/endpoints.py
+++ b/pollenfold/core/endpoints.py
@@ -92,7 +92,7 @@
     """
     if left.incarnation != right.incarnation:
         return left if left.incarnation > right.incarnation else right
-    newer = max(left, right, key=_announced)
+    newer = max(left, right, key=_announced_fields)
     return replace(
         newer,
         is_leaving=left.is_leaving or right.is_leaving,
@@ -100,7 +100,7 @@
     )
 
 
-def _announced(endpoint: Endpoint) -> tuple[int, str, float, int, int]:
+def _announced_fields(endpoint: Endpoint) -> tuple[int, str, float, int, int]:
     """Return the fields that a later announcement replaces, as a total order."""
     return (
         endpoint.heartbeat,
--- a/pollenfold/core/membership.py
+++ b/pollenfold/core/membership.py
@@ -28,7 +28,7 @@
 """How long a leaving or expired endpoint is kept. A suspended entry or a full socket
 buffer can deliver an announcement hours late, and a record needs little memory."""
 
-NOTICE_MS = 60_000.0
+LEAVE_NOTICE_MS = 60_000.0
 """How long lease renewals repeat a leave notice."""
 
 _LOW_BITS = 16
@@ -79,12 +79,12 @@
     """A table entry. The heartbeat counter is stored separately, so that a renewal
     does not replace the endpoint object used for routing."""
 
-    __slots__ = ("endpoint", "heartbeat", "since", "is_expired", "fingerprint")
+    __slots__ = ("endpoint", "heartbeat", "updated_at", "is_expired", "fingerprint")
 
-    def __init__(self, endpoint: Endpoint, since: Instant) -> None:
+    def __init__(self, endpoint: Endpoint, updated_at: Instant) -> None:
         self.endpoint = endpoint
         self.heartbeat = endpoint.heartbeat
-        self.since = since
+        self.updated_at = updated_at
         self.is_expired = False
         self.fingerprint = _fingerprint(endpoint)
 
@@ -196,12 +196,12 @@
     ) -> MergeOutcome:
         """Merge an announcement, or a table entry from a peer with its age."""
         key = endpoint.key
-        since = Instant(now - age_ms)
+        updated_at = Instant(now - age_ms)
         record = self._services.get(key.service, {}).get(key)
         if record is None:
             if self._is_outdated(endpoint, age_ms):
                 return MergeOutcome.UNCHANGED
-            self._insert(key, _Record(endpoint, since))
+            self._insert(key, _Record(endpoint, updated_at))
             return MergeOutcome.LEFT if endpoint.is_leaving else MergeOutcome.CHANGED
         before = record.current()
         merged = merge_endpoints(before, endpoint)
@@ -213,14 +213,14 @@
         if not is_new and self._is_renewal(before, merged):
             return self._renew(record, merged.heartbeat, now, age_ms)
         is_leave = merged.is_leaving and (is_new or not before.is_leaving)
-        fresh = _Record(merged, since)
+        new_record = _Record(merged, updated_at)
         if not is_new and not is_leave and merged.heartbeat == before.heartbeat:
             # Only a higher heartbeat counter postpones the expiry.
-            fresh.since = record.since
-            fresh.is_expired = record.is_expired
+            new_record.updated_at = record.updated_at
+            new_record.is_expired = record.is_expired
         elif not is_new and before.is_leaving:
-            fresh.since = record.since
-        self._insert(key, fresh)
+            new_record.updated_at = record.updated_at
+        self._insert(key, new_record)
         if is_leave:
             return MergeOutcome.LEFT
         return MergeOutcome.CHANGED
@@ -234,7 +234,7 @@
         known = self.get(EndpointKey(notice.service, notice.host, notice.port))
         if known is not None and known.incarnation == notice.incarnation:
             return self.merge(replace(known, is_leaving=True), now)
-        left = Endpoint(
+        leaving = Endpoint(
             service=notice.service,
             host=notice.host,
             port=notice.port,
@@ -246,14 +246,14 @@
             connections=0,
             is_leaving=True,
         )
-        return self.merge(left, now)
+        return self.merge(leaving, now)
 
     def leave_notices(self, now: Instant) -> tuple[LeaveNotice, ...]:
         """Return the leave notices of the last 60 s, for the next lease renewal."""
         return tuple(
             LeaveNotice(*record.endpoint.key, record.endpoint.incarnation)
             for record in self._records()
-            if record.endpoint.is_leaving and now - record.since <= NOTICE_MS
+            if record.endpoint.is_leaving and now - record.updated_at <= LEAVE_NOTICE_MS
         )
 
     def expire(self, now: Instant) -> tuple[Endpoint, ...]:
@@ -264,7 +264,7 @@
         expired = []
         for record in list(self._records()):
             endpoint = record.endpoint
-            age_ms = now - record.since
+            age_ms = now - record.updated_at
             if record.is_serving:
                 if age_ms > endpoint.ttl_ms:
                     record.is_expired = True
@@ -278,7 +278,7 @@
         """Yield the entries of the buckets that are exchanged with peers."""
         for index in buckets:
             for record in self._buckets[index].ordered():
-                yield AgedEndpoint(record.current(), max(0.0, now - record.since))
+                yield AgedEndpoint(record.current(), max(0.0, now - record.updated_at))
 
     def digest(self) -> Digest:
         """Return the summary to send to a peer."""
@@ -319,9 +319,9 @@
         return n_renewed
 
     def renew_from_difference(
-        self, sent: Digest, difference: Difference, now: Instant
+        self, sent_digest: Digest, difference: Difference, now: Instant
     ) -> int:
-        """Apply the counters that a peer returned for the digest ``sent``.
+        """Apply the counters that a peer returned for ``sent_digest``.
 
         Buckets that have changed since the digest was computed are skipped.
         """
@@ -330,7 +330,7 @@
         n_renewed = 0
         for index, heartbeats in zip(equal, difference.heartbeats, strict=True):
             bucket = self._buckets[index]
-            if bucket.fingerprint() == sent.fingerprints[index]:
+            if bucket.fingerprint() == sent_digest.fingerprints[index]:
                 n_renewed += self._renew_bucket(bucket, heartbeats, now)
         return n_renewed
 
@@ -341,12 +341,12 @@
         if len(records) != len(heartbeats):
             return 0
         n_renewed = 0
-        for record, low in zip(records, heartbeats, strict=True):
+        for record, low_bits in zip(records, heartbeats, strict=True):
             # The high bits are equal, because the fingerprint covers them.
-            if low > record.heartbeat & _LOW_MASK:
-                record.heartbeat = (record.heartbeat & ~_LOW_MASK) | low
+            if low_bits > record.heartbeat & _LOW_MASK:
+                record.heartbeat = (record.heartbeat & ~_LOW_MASK) | low_bits
                 if not record.endpoint.is_leaving:
-                    record.since = now
+                    record.updated_at = now
                 n_renewed += 1
         return n_renewed
 
@@ -354,12 +354,12 @@
         self, record: _Record, heartbeat: int, now: Instant, age_ms: float
     ) -> MergeOutcome:
         was_expired = record.is_expired
-        is_same_page = heartbeat >> _LOW_BITS == record.heartbeat >> _LOW_BITS
+        is_high_part_equal = heartbeat >> _LOW_BITS == record.heartbeat >> _LOW_BITS
         record.heartbeat = heartbeat
         if not record.endpoint.is_leaving:
-            record.since = Instant(now - age_ms)
+            record.updated_at = Instant(now - age_ms)
             record.is_expired = age_ms > record.endpoint.ttl_ms
-        if not is_same_page:
+        if not is_high_part_equal:
             record.fingerprint = _fingerprint(record.current())
             self._buckets[_bucket(record.endpoint.key)].invalidate()
         if was_expired != record.is_expired:
--- a/pollenfold/core/orders.py
+++ b/pollenfold/core/orders.py
@@ -82,7 +82,7 @@
     document: str = ""
     evacuated: frozenset[str] = frozenset()
     departures: dict[str, int] = field(default_factory=dict)
-    departed_at: dict[str, int] = field(default_factory=dict, compare=False)
+    departure_indices: dict[str, int] = field(default_factory=dict, compare=False)
     """The log index of each departure; for those read from a snapshot, its index."""
 
     def apply(self, index: int, order: Order) -> bool:
@@ -100,22 +100,22 @@
                 self.evacuated = before | {zone} if is_out else before - {zone}
                 return before != self.evacuated
             case Depart(endpoint_id, born_ms):
-                return self._depart(endpoint_id, born_ms)
+                return self._record_departure(endpoint_id, born_ms)
 
-    def _depart(self, endpoint_id: str, born_ms: int) -> bool:
+    def _record_departure(self, endpoint_id: str, born_ms: int) -> bool:
         if self.has_departed(endpoint_id, born_ms):
             return False
         self.departures.pop(endpoint_id, None)
         self.departures[endpoint_id] = born_ms
-        self.departed_at[endpoint_id] = self.index
-        self._drop_oldest()
+        self.departure_indices[endpoint_id] = self.index
+        self._drop_oldest_departures()
         return True
 
-    def _drop_oldest(self) -> None:
+    def _drop_oldest_departures(self) -> None:
         while len(self.departures) > MAX_DEPARTURES:
             oldest = next(iter(self.departures))
             del self.departures[oldest]
-            self.departed_at.pop(oldest, None)
+            self.departure_indices.pop(oldest, None)
 
     def has_departed(self, endpoint_id: str, born_ms: int) -> bool:
         """Return whether this incarnation of an endpoint is leaving or has left."""
@@ -142,7 +142,7 @@
         fields["departures"] = {
             k: v
             for k, v in self.departures.items()
-            if self.departed_at.get(k, self.index) > index
+            if self.departure_indices.get(k, self.index) > index
         }
         if version == self.version:
             del fields["document"]
@@ -157,14 +157,14 @@
         since = int(fields.get("since", 0))
         if since > self.index:
             raise ValueError(f"update since index {since} for a state at {self.index}")
-        known = {"document": self.document} if self._is_held(fields) else {}
-        orders = decode_orders({**known, **fields})
+        base = {"document": self.document} if self._has_same_version(fields) else {}
+        state = decode_orders({**base, **fields})
         if since:
-            orders.departures = {**self.departures, **orders.departures}
-            orders._drop_oldest()
-        return orders
+            state.departures = {**self.departures, **state.departures}
+            state._drop_oldest_departures()
+        return state
 
-    def _is_held(self, fields: dict[str, Any]) -> bool:
+    def _has_same_version(self, fields: dict[str, Any]) -> bool:
         return int(fields["version"]) == self.version
 
 
--- a/pollenfold/core/ownership.py
+++ b/pollenfold/core/ownership.py
@@ -9,7 +9,7 @@
 from .clock import Instant
 from .endpoints import EndpointKey
 
-_MAX_HISTORY = 64
+_MAX_DIRECTORIES = 64
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,31 +63,31 @@
 
     def __init__(self, entry_id: str) -> None:
         self._entry_id = entry_id
-        self._seen: list[Directory] = []
+        self._directories: list[Directory] = []
         self._generation = 0
 
     def observe(self, directory: Directory) -> None:
         """Append a directory; a gap in the revisions clears the history first."""
-        if self._seen:
-            last = self._seen[-1]
+        if self._directories:
+            last = self._directories[-1]
             is_same = directory.entry_ids == last.entry_ids
             if directory.revision == last.revision and is_same:
                 return
             if directory.revision != last.revision + 1:
-                self._seen.clear()
+                self._directories.clear()
                 self._generation += 1
-        self._seen.append(directory)
-        if len(self._seen) > _MAX_HISTORY:
-            del self._seen[0]
+        self._directories.append(directory)
+        if len(self._directories) > _MAX_DIRECTORIES:
+            del self._directories[0]
 
     def update(self, ownership: Ownership, key: EndpointKey) -> bool:
         """Update an ownership to the latest directory; return whether it changed."""
         before = ownership.since
         is_continued = ownership.generation == self._generation
-        if not is_continued or self._seen[0].revision > ownership.revision + 1:
+        if not is_continued or self._directories[0].revision > ownership.revision + 1:
             ownership.since = None
             ownership.revision = -1
-        for directory in self._seen:
+        for directory in self._directories:
             if directory.revision <= ownership.revision:
                 continue
             if warmup_owner(directory.entry_ids, key) != self._entry_id:
@@ -95,5 +95,5 @@
             elif ownership.since is None:
                 ownership.since = directory.first_seen
         ownership.generation = self._generation
-        ownership.revision = self._seen[-1].revision
+        ownership.revision = self._directories[-1].revision
         return ownership.since != before
--- a/pollenfold/core/records.py
+++ b/pollenfold/core/records.py
@@ -87,8 +87,8 @@
     ``path`` is the full path of the request; rules match the part after the path
     prefix of the service.
     """
-    rest = path[len(service.path_prefix.rstrip("/")) :] or "/"
+    relative_path = path[len(service.path_prefix.rstrip("/")) :] or "/"
     for rule in service.rules:
-        if method in rule.methods and rest.startswith(rule.path_prefix):
+        if method in rule.methods and relative_path.startswith(rule.path_prefix):
             return rule.request_class
     return RequestClass.NON_IDEMPOTENT
--- a/pollenfold/core/register.py
+++ b/pollenfold/core/register.py
@@ -180,8 +180,8 @@
     resend to execute the request again while its outcome is unknown. A promise counts
     as a change, so that a round in progress does not lose it.
     """
-    touched_at = max(register.changed_at, register.promised_at)
-    if register.is_vote_unknown or now - touched_at < RETENTION_MS:
+    last_changed_at = max(register.changed_at, register.promised_at)
+    if register.is_vote_unknown or now - last_changed_at < RETENTION_MS:
         return False
     return register.value.state not in (State.CLAIMED, State.IN_DOUBT)
 
@@ -198,7 +198,7 @@
     the lost disk may have held a vote for any of these claims.
     """
     registers = [register for register, _ in copies]
-    newest = _newest(copies)
+    newest = _highest_accepted(copies)
     promised = max(register.promised for register in registers)
     promised_at = max(register.promised_at for register in registers)
     if newest.accepted > OPEN_BALLOT and not _is_expiring(copies):
@@ -223,7 +223,7 @@
     result is empty; if there are several, or one that appears in no reply may exist,
     the result is in doubt.
     """
-    newest = _newest(promises)
+    newest = _highest_accepted(promises)
     if newest.accepted > OPEN_BALLOT:
         if _is_expiring(promises):
             claim_ids = {c for r, _ in promises for c in r.value.claim_ids}
@@ -247,7 +247,7 @@
     return Value(state, tuple(possible))
 
 
-def _newest(copies: Sequence[Aged]) -> Register:
+def _highest_accepted(copies: Sequence[Aged]) -> Register:
     return max((register for register, _ in copies), key=lambda r: r.accepted)
 
 
@@ -258,7 +258,7 @@
     near the end of its retention and another a younger claim, that claim may have
     been chosen by replicas that had dropped the value.
     """
-    newest = _newest(copies)
+    newest = _highest_accepted(copies)
     if newest.value.state not in (State.ABANDONED, State.COMPLETED):
         return False
     newest_age_ms = max(age for register, age in copies if register == newest)
@@ -279,9 +279,9 @@
         return value
     if value.state not in (State.CLAIMED, State.IN_DOUBT):
         return value
-    rest = tuple(other for other in value.claim_ids if other != claim_id)
-    if value.is_open or len(rest) > 1:
-        return replace(value, claim_ids=rest)
-    if rest:
-        return Value(State.CLAIMED, rest)
+    remaining = tuple(other for other in value.claim_ids if other != claim_id)
+    if value.is_open or len(remaining) > 1:
+        return replace(value, claim_ids=remaining)
+    if remaining:
+        return Value(State.CLAIMED, remaining)
     return Value(State.ABANDONED, (claim_id,))
--- a/pollenfold/core/registry.py
+++ b/pollenfold/core/registry.py
@@ -143,7 +143,7 @@
             self.remove(endpoint_id)
         self._known[endpoint_id] = Known(announcement, now, now)
         self._by_address[address] = endpoint_id
-        return known is None or _differs(known.announcement, announcement)
+        return known is None or _has_update(known.announcement, announcement)
 
     def hear(self, endpoint_id: str, now: Instant) -> None:
         """Record that an endpoint repeated its newest announcement."""
@@ -160,12 +160,12 @@
         if self._by_address.get(address) == endpoint_id:
             del self._by_address[address]
 
-    def expire(self, heard_before: Instant) -> list[str]:
+    def expire(self, received_before: Instant) -> list[str]:
         """Remove endpoints with no announcement since an instant; return their ids."""
-        silent = [k for k, v in self._known.items() if v.heard_at < heard_before]
-        for endpoint_id in silent:
+        expired = [k for k, v in self._known.items() if v.heard_at < received_before]
+        for endpoint_id in expired:
             self.remove(endpoint_id)
-        return silent
+        return expired
 
     def all_known(self) -> Iterable[Known]:
         """Return the newest announcement of each endpoint and its receive times."""
@@ -176,7 +176,7 @@
         return [known.announcement for known in self._known.values()]
 
 
-def _differs(before: Announcement, after: Announcement) -> bool:
+def _has_update(before: Announcement, after: Announcement) -> bool:
     """Return whether more changed than the sequence and a shorter warm-up time."""
     return (
         before.born_ms != after.born_ms
--- a/pollenfold/core/warming.py
+++ b/pollenfold/core/warming.py
@@ -44,7 +44,7 @@
 at the same time. A larger share means that the service is overloaded, and removing
 capacity would make that worse."""
 
-SUSPECT_MS = 1000.0
+SUSPICION_WINDOW_MS = 1000.0
 
 WARM_SHARE_FACTOR = 2.0
 MIN_WARM_SHARE = 2
@@ -73,31 +73,31 @@
 class LatencyBaseline:
     """A moving average of latencies, and the number of successive high latencies."""
 
-    __slots__ = ("mean_ms", "n_samples", "n_high")
+    __slots__ = ("mean_ms", "n_samples", "n_high_latencies")
 
     def __init__(self) -> None:
         self.mean_ms = 0.0
         self.n_samples = 0
-        self.n_high = 0
+        self.n_high_latencies = 0
 
     def add(self, latency_ms: float) -> bool:
         """Add a latency; return whether a sudden rise has been detected."""
         self.n_samples += 1
         is_learning = self.n_samples <= MIN_BASELINE_SAMPLES
         if not is_learning and latency_ms > RISE_FACTOR * self.mean_ms + RISE_MS:
-            self.n_high += 1
+            self.n_high_latencies += 1
         else:
-            self.n_high = 0
+            self.n_high_latencies = 0
         weight = 1 / self.n_samples if is_learning else BASELINE_WEIGHT
         self.mean_ms += weight * (latency_ms - self.mean_ms)
-        return self.n_high >= N_HIGH_LATENCIES
+        return self.n_high_latencies >= N_HIGH_LATENCIES
 
 
 def _is_same_warm_up(left: Endpoint, right: Endpoint) -> bool:
     return left.incarnation == right.incarnation and left.warm == right.warm
 
 
-class _State:
+class _EndpointState:
     """The warm-up state of one endpoint on this entry."""
 
     __slots__ = (
@@ -112,7 +112,7 @@
         "n_successes",
         "n_sheds",
         "baseline",
-        "suspect_at",
+        "suspected_at",
     )
 
     def __init__(self, endpoint: Endpoint, spec: ServiceSpec) -> None:
@@ -123,7 +123,7 @@
         self.ownership = Ownership()
         self.limit = 0
         self.ready_at = 0.0
-        self.suspect_at = float("-inf")
+        self.suspected_at = float("-inf")
         self.start_ramp()
 
     @property
@@ -135,29 +135,29 @@
     def is_detected_cold(self) -> bool:
         """Whether an entry detected that the endpoint became cold after being warm."""
         warm = self.endpoint.warm
-        is_explicit = not warm.is_warm and warm.epoch > 0
-        return is_explicit and warm.zone_version >= self.zone_version
+        is_marked_cold = not warm.is_warm and warm.epoch > 0
+        return is_marked_cold and warm.zone_version >= self.zone_version
 
     @property
     def slots(self) -> int:
         return max(1, min(self.endpoint.slots, self.spec.slots_per_endpoint))
 
     def start_ramp(self) -> None:
-        self.ramp_limit = self._first_limit()
+        self.ramp_limit = self._initial_limit()
         self.n_successes = 0
         self.n_sheds = 0
         self.baseline = LatencyBaseline()
 
-    def step_back(self) -> None:
+    def halve_ramp(self) -> None:
         """Halve the ramp limit, but not below its initial value."""
-        self.ramp_limit = max(self._first_limit(), self.ramp_limit // 2)
+        self.ramp_limit = max(self._initial_limit(), self.ramp_limit // 2)
         self.n_successes = 0
         self.baseline = LatencyBaseline()
 
-    def _first_limit(self) -> int:
+    def _initial_limit(self) -> int:
         return max(1, min(self.spec.cold_slots, self.slots))
 
-    def changed(self, is_warm: bool) -> Endpoint:
+    def with_warm(self, is_warm: bool) -> Endpoint:
         warm = self.endpoint.warm
         zone_version = max(self.zone_version, warm.zone_version)
         return replace(
@@ -176,8 +176,8 @@
 
     def __init__(self, entry_id: str, lease_ms: float) -> None:
         self._lease_ms = lease_ms
-        self._services: dict[str, dict[EndpointKey, _State]] = {}
-        self._by_id: dict[int, _State] = {}
+        self._services: dict[str, dict[EndpointKey, _EndpointState]] = {}
+        self._by_id: dict[int, _EndpointState] = {}
         self._history = DirectoryHistory(entry_id)
 
     def limit(
@@ -246,12 +246,12 @@
         spec: ServiceSpec,
         zone_version: int,
         directory: Directory,
-    ) -> _State:
+    ) -> _EndpointState:
         states = self._services.setdefault(endpoint.service, {})
         key = endpoint.key
         state = states.get(key)
         if state is None:
-            state = states[key] = _State(endpoint, spec)
+            state = states[key] = _EndpointState(endpoint, spec)
         before = state.endpoint
         if (
             endpoint.incarnation == before.incarnation
@@ -273,10 +273,10 @@
             if self._history.update(state.ownership, key) and not state.is_warm:
                 state.start_ramp()
         self._by_id[id(endpoint)] = state
-        self._apply(state)
+        self._update_limit(state)
         return state
 
-    def _apply(self, state: _State) -> None:
+    def _update_limit(self, state: _EndpointState) -> None:
         """Compute the limit that ``limit`` returns until the state changes."""
         state.ready_at = float("-inf")
         if state.endpoint.is_leaving:
@@ -293,30 +293,34 @@
             state.ready_at = state.ownership.since + wait_ms
 
     def _record_ramp(
-        self, state: _State, latency_ms: float, was_shed: bool, reported_cold: bool
+        self,
+        state: _EndpointState,
+        latency_ms: float,
+        was_shed: bool,
+        reported_cold: bool,
     ) -> WarmChange | None:
         if was_shed or state.baseline.add(latency_ms):
-            state.step_back()
+            state.halve_ramp()
         elif not reported_cold:
             state.n_successes += 1
             if state.n_successes >= SUCCESSES_PER_SLOT * state.ramp_limit:
                 state.n_successes = 0
                 if state.ramp_limit >= state.slots:
-                    return self._change(state, True, WarmReason.RAMP_DONE)
+                    return self._set_warm(state, True, WarmReason.RAMP_DONE)
                 state.ramp_limit += 1
-        self._apply(state)
+        self._update_limit(state)
         return None
 
     def _record_warm(
         self,
-        state: _State,
+        state: _EndpointState,
         latency_ms: float,
         was_shed: bool,
         reported_cold: bool,
         now: Instant,
     ) -> WarmChange | None:
         if reported_cold:
-            return self._change(state, False, WarmReason.REPORTED)
+            return self._set_warm(state, False, WarmReason.REPORTED)
         if was_shed:
             state.n_sheds += 1
             if state.n_sheds < N_SHEDS:
@@ -327,27 +331,29 @@
             state.n_sheds = 0
             if not state.baseline.add(latency_ms):
                 return None
-            state.baseline.n_high = 0
+            state.baseline.n_high_latencies = 0
             reason = WarmReason.LATENCY
-        state.suspect_at = now
-        if self._is_widespread(state, now):
+        state.suspected_at = now
+        if self._is_overload_suspected(state, now):
             return None
-        return self._change(state, False, reason)
+        return self._set_warm(state, False, reason)
 
-    def _is_widespread(self, state: _State, now: Instant) -> bool:
+    def _is_overload_suspected(self, state: _EndpointState, now: Instant) -> bool:
         states = self._services[state.endpoint.service].values()
         n_suspects = sum(
-            other.is_detected_cold or now - other.suspect_at <= SUSPECT_MS
+            other.is_detected_cold or now - other.suspected_at <= SUSPICION_WINDOW_MS
             for other in states
         )
         return n_suspects > max(1, int(MAX_SUSPECT_SHARE * len(states)))
 
-    def _change(self, state: _State, is_warm: bool, reason: WarmReason) -> WarmChange:
+    def _set_warm(
+        self, state: _EndpointState, is_warm: bool, reason: WarmReason
+    ) -> WarmChange:
         """Apply the new warm state locally before the table has merged it."""
-        endpoint = state.changed(is_warm)
+        endpoint = state.with_warm(is_warm)
         self._by_id.pop(id(state.endpoint), None)
         state.endpoint = endpoint
         state.start_ramp()
         self._by_id[id(endpoint)] = state
-        self._apply(state)
+        self._update_limit(state)
         return WarmChange(endpoint, reason)
--- a/pollenfold/tests/core/test_claims.py
+++ b/pollenfold/tests/core/test_claims.py
@@ -18,7 +18,7 @@
 
 EPOCHS = (1, 1, 1)
 OUTCOME = Outcome(201, ((b"a", b"b"),), b"body")
-HIGH = (4, "q")
+HIGH_BALLOT = (4, "q")
 
 
 def value(state, *claim_ids, **fields):
@@ -32,8 +32,8 @@
     return Reply(True, register, age_ms, epochs)
 
 
-def refused(held, age_ms=0.0, promised=HIGH):
-    return Reply(False, Register(promised, promised, held), age_ms, EPOCHS)
+def refused(stored, age_ms=0.0, promised=HIGH_BALLOT):
+    return Reply(False, Register(promised, promised, stored), age_ms, EPOCHS)
 
 
 def start(operation):
@@ -44,11 +44,11 @@
     return start(claims.claim(3, "p", claim_id, 100.0))
 
 
-def replies(operation, phase, *answers):
+def replies(operation, phase, *received):
     """Pass the replies of replicas 0, 1, ... (None: no reply); return the last
     action."""
     action = None
-    for index, reply in enumerate(answers):
+    for index, reply in enumerate(received):
         if reply is None:
             action = operation.on_failure(phase, index)
         else:
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    "answers, expected",
+    "received, expected",
     [
         ([refused(value("claimed", "d"))] * 2, claims.InProgress()),
         ([refused(value("claimed", "d"), age_ms=100.0)] * 2, claims.InDoubt()),
@@ -85,11 +85,11 @@
         ([None, None], claims.Unavailable()),
     ],
 )
-def test_resend_is_answered_in_one_round_trip(answers, expected):
+def test_resend_finishes_in_one_round_trip(received, expected):
     """Guards against a resend that is executed again, or that waits when no majority
     replies."""
     operation, _ = claim("e")
-    actions = [replies(operation, 1, *answers), operation.on_failure(1, 2)]
+    actions = [replies(operation, 1, *received), operation.on_failure(1, 2)]
     assert Finish(expected) in actions
 
 
@@ -99,8 +99,8 @@
     operation, _ = claim("c")
     action = replies(operation, 1, *[refused(value("claimed", "c"))] * 2)
     assert action == Send(2, Prepare((5, "p")))
-    held = Register((5, "p"), HIGH, value("claimed", "c"))
-    action = replies(operation, 2, granted(held), granted(held))
+    stored = Register((5, "p"), HIGH_BALLOT, value("claimed", "c"))
+    action = replies(operation, 2, granted(stored), granted(stored))
     assert action == Send(3, Accept((5, "p"), value("claimed", "c")))
     assert replies(operation, 3, granted(), granted()) == Finish(claims.Claimed())
 
@@ -135,7 +135,7 @@
     assert action == Send(3, Accept((1, "p"), value("claimed", "c")))
 
 
-def test_third_claimant_finds_a_doubt():
+def test_third_claimant_stores_an_in_doubt_value():
     """Guards against a claimant that chooses one of two claims of other claimants."""
     operation, _ = claim("e")
     promises = split(operation)
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize(
-    "held, expected",
+    "stored, expected",
     [
         (value("empty"), None),
         (value("claimed", "c"), None),
@@ -168,17 +168,17 @@
         (COMPLETED, ErrorKind.OUTCOME_UNKNOWN),
     ],
 )
-def test_abandon_succeeds_only_for_a_free_key(held, expected):
+def test_abandon_succeeds_only_for_a_free_key(stored, expected):
     """Guards against did_not_run while another claimant may execute the request."""
     operation, _ = start(claims.abandon(3, "p", "c"))
-    register = Register((1, "p"), (0, "z"), held)
+    register = Register((1, "p"), (0, "z"), stored)
     replies(operation, 1, granted(register), granted(register))
-    answer = replies(operation, 2, granted(), granted()).answer
-    assert answer.is_ok() if expected is None else answer.error is expected
+    result = replies(operation, 2, granted(), granted()).answer
+    assert result.is_ok() if expected is None else result.error is expected
 
 
 @pytest.mark.parametrize(
-    "held, is_stored",
+    "previous, is_stored",
     [
         (value("claimed", "c"), True),
         (value("in_doubt", "c", "d"), True),
@@ -190,17 +190,17 @@
         (value("abandoned", "c"), False),
     ],
 )
-def test_complete_never_replaces_an_outcome(held, is_stored):
+def test_complete_never_replaces_an_outcome(previous, is_stored):
     """Guards against replacing an outcome, and against storing one for another
     claim."""
     operation, _ = start(claims.complete(3, "p", "c", OUTCOME))
-    register = Register((1, "p"), (0, "z"), held)
+    register = Register((1, "p"), (0, "z"), previous)
     action = replies(operation, 1, granted(register), granted(register))
-    assert action.message.value == (COMPLETED if is_stored else held)
+    assert action.message.value == (COMPLETED if is_stored else previous)
     assert replies(operation, 2, granted(), granted()).answer.is_ok() is is_stored
 
 
-def test_endless_competition_gives_up():
+def test_operation_gives_up_after_repeated_competition():
     """Guards against an operation that never ends while others use higher ballots."""
     operation, action = start(claims.abandon(3, "p", "c"))
     for n in range(1, 20):
--- a/pollenfold/tests/core/test_configuration.py
+++ b/pollenfold/tests/core/test_configuration.py
@@ -5,7 +5,7 @@
 import pytest
 
 from pollenfold.core.configuration import (
-    MAX_ANSWERS,
+    MAX_RESULTS,
     Change,
     ConfigurationState,
     apply_change,
@@ -39,15 +39,15 @@
     state = ConfigurationState()
     assert apply_change(state, change("first", 1)).error is None
     before = encode_state(state)
-    answer = apply_change(state, change("second", version, state="out"))
-    assert answer.error is error
-    assert (state.revision, answer.revision) == ((2, 2) if error is None else (1, 1))
+    result = apply_change(state, change("second", version, state="out"))
+    assert result.error is error
+    assert (state.revision, result.revision) == ((2, 2) if error is None else (1, 1))
     if error is not None:
-        assert "expected version 2" in answer.detail
+        assert "expected version 2" in result.detail
         assert records_since(state, 0) == records_since(decode_state(before), 0)
 
 
-def test_resend_gets_the_first_answer():
+def test_resend_gets_the_first_result():
     """Guards against a resent change that is applied twice or refused."""
     state = ConfigurationState()
     first = apply_change(state, change("x", 1))
@@ -64,18 +64,18 @@
     state = ConfigurationState()
     apply_change(state, change("x", 1))
     before = encode_state(state)
-    answer = apply_change(state, change("x", 2))
-    assert answer.error is ErrorKind.BAD_REQUEST
+    result = apply_change(state, change("x", 2))
+    assert result.error is ErrorKind.BAD_REQUEST
     assert encode_state(state) == before
 
 
-def test_answers_of_the_last_4096_changes_are_kept():
+def test_results_of_the_last_4096_changes_are_kept():
     """Guards against results that accumulate without limit or are dropped early."""
-    assert MAX_ANSWERS == 4096
+    assert MAX_RESULTS == 4096
     state = ConfigurationState()
-    for version in range(1, MAX_ANSWERS + 2):
+    for version in range(1, MAX_RESULTS + 2):
         assert apply_change(state, change(f"id-{version}", version)).error is None
-    assert len(state.answers) == MAX_ANSWERS
+    assert len(state.answers) == MAX_RESULTS
     oldest = apply_change(state, change("id-2", 2))
     assert (oldest.error, oldest.revision) == (None, 2)
 
@@ -83,11 +83,11 @@
 @pytest.mark.parametrize(
     "record", [b"", b"\xff", b"[]", b"{}", b'{"kind":"zone","name":"a","version":"1"}']
 )
-def test_garbage_in_the_log_changes_nothing(record):
+def test_malformed_record_in_the_log_changes_nothing(record):
     """Guards against a replica that stops at a command it can't decode."""
     state = ConfigurationState()
-    answer = apply_change(state, Change("x", record))
-    assert answer.error is ErrorKind.BAD_RECORD
+    result = apply_change(state, Change("x", record))
+    assert result.error is ErrorKind.BAD_RECORD
     assert (state.revision, state.records) == (0, {})
 
 
--- a/pollenfold/tests/core/test_directory.py
+++ b/pollenfold/tests/core/test_directory.py
@@ -20,10 +20,12 @@
     return LiveEntry(name, incarnation, "127.0.0.1", port, 2, 3, "a")
 
 
-def renew(directory, who, now, acknowledged=0, limit=19, holds=False, admits=True):
-    refusal = directory.check(who, holds, limit, admits, Instant(now))
+def renew(
+    directory, live_entry, now, acknowledged=0, limit=19, holds=False, admits=True
+):
+    refusal = directory.check(live_entry, holds, limit, admits, Instant(now))
     if refusal is None:
-        directory.grant(who, acknowledged, Instant(now))
+        directory.grant(live_entry, acknowledged, Instant(now))
     return refusal.kind if refusal else None
 
 
@@ -43,7 +45,7 @@
     assert renew(directory, entry("a"), SETTLED) is None
 
 
-def test_entry_without_acknowledgement_holds_back_until_its_lease_ended(directory):
+def test_revision_is_not_in_force_until_unacknowledged_leases_expire(directory):
     """Guards against a revision that is reported as in force too early, or never."""
     renew(directory, entry("a"), 3000, acknowledged=1)
     renew(directory, entry("b"), 3000, acknowledged=2)
--- a/pollenfold/tests/core/test_membership.py
+++ b/pollenfold/tests/core/test_membership.py
@@ -89,7 +89,7 @@
     assert table.endpoints(SERVICE) == ()
 
 
-def test_renewal_keeps_the_tuple_of_the_call_path(table):
+def test_renewal_keeps_the_tuple_of_endpoints(table):
     """Guards against rebuilding the tuple of endpoints for every heartbeat."""
     table.merge(make_endpoint(), at(0))
     before = table.endpoints(SERVICE)
--- a/pollenfold/tests/core/test_orders.py
+++ b/pollenfold/tests/core/test_orders.py
@@ -40,15 +40,15 @@
 
 
 @pytest.mark.parametrize(
-    "order", [Configure(3, '{"x": 1}'), Evacuate("a", True), Depart("i-1", 5)]
+    "command", [Configure(3, '{"x": 1}'), Evacuate("a", True), Depart("i-1", 5)]
 )
-def test_orders_survive_encoding(order):
+def test_commands_survive_encoding(command):
     """Guards against a command that changes when it is encoded and decoded."""
-    assert decode_order(encode_order(order)) == order
+    assert decode_order(encode_order(command)) == command
 
 
 @pytest.mark.parametrize("command", [b"", b"\xff", b"[]", b'["configure", "3", 1]'])
-def test_other_bytes_are_no_order(command):
+def test_malformed_command_is_rejected(command):
     """Guards against a malformed command that terminates the process."""
     with pytest.raises(ValueError):
         decode_order(command)
@@ -56,50 +56,50 @@
 
 def test_highest_version_is_in_force():
     """Guards against a configuration replaced by one of an older or equal version."""
-    orders = Orders()
-    assert orders.apply(1, Configure(5, "five"))
-    assert not orders.apply(2, Configure(5, "other five"))
-    assert not orders.apply(3, Configure(4, "four"))
-    assert (orders.version, orders.document, orders.index) == (5, "five", 3)
+    state = Orders()
+    assert state.apply(1, Configure(5, "five"))
+    assert not state.apply(2, Configure(5, "other five"))
+    assert not state.apply(3, Configure(4, "four"))
+    assert (state.version, state.document, state.index) == (5, "five", 3)
 
 
-def test_orders_survive_a_snapshot():
+def test_replicated_state_survives_a_snapshot():
     """Guards against an acknowledged command whose effect a snapshot loses."""
-    orders = Orders()
-    orders.apply(1, Configure(5, "five"))
-    orders.apply(2, Evacuate("a", True))
-    orders.apply(3, Depart("i-1", 7))
-    assert decode_orders(orders.encode()) == orders
+    state = Orders()
+    state.apply(1, Configure(5, "five"))
+    state.apply(2, Evacuate("a", True))
+    state.apply(3, Depart("i-1", 7))
+    assert decode_orders(state.encode()) == state
 
 
 def test_departures_are_bounded():
     """Guards against replicated state that grows with every departure."""
-    orders = Orders()
+    state = Orders()
     for number in range(MAX_DEPARTURES + 5):
-        orders.apply(number, Depart(f"i-{number}", 1))
-    assert len(orders.departures) == MAX_DEPARTURES
-    assert orders.has_departed(f"i-{MAX_DEPARTURES + 4}", 1)
+        state.apply(number, Depart(f"i-{number}", 1))
+    assert len(state.departures) == MAX_DEPARTURES
+    assert state.has_departed(f"i-{MAX_DEPARTURES + 4}", 1)
 
 
-def test_departure_binds_one_life():
+def test_departure_applies_to_one_incarnation():
     """Guards against a late announcement that returns a departed endpoint to service,
     and against an endpoint that gets no requests after a restart under its old id."""
-    orders = Orders()
-    orders.apply(1, Depart("i-1", 1000))
-    assert not may_get_work(announcement(sequence=99), orders)
-    assert may_get_work(announcement(born_ms=1001, sequence=1), orders)
+    state = Orders()
+    state.apply(1, Depart("i-1", 1000))
+    assert not may_get_work(announcement(sequence=99), state)
+    assert may_get_work(announcement(born_ms=1001, sequence=1), state)
 
 
-def test_evacuated_zone_gets_no_work():
+def test_evacuated_zone_gets_no_requests():
     """Guards against requests to endpoints of an evacuated zone."""
-    orders = Orders()
-    orders.apply(1, Evacuate("a", True))
-    assert not may_get_work(announcement(), orders)
-    orders.apply(2, Evacuate("a", False))
-    assert may_get_work(announcement(), orders)
+    state = Orders()
+    state.apply(1, Evacuate("a", True))
+    assert not may_get_work(announcement(), state)
+    state.apply(2, Evacuate("a", False))
+    assert may_get_work(announcement(), state)
 
 
-def test_older_word_of_one_life_is_ignored():
+def test_older_announcement_of_an_incarnation_is_ignored():
     """Guards against a delayed announcement that replaces a newer one."""
     registry = Registry()
     assert registry.merge(announcement(sequence=5, is_leaving=True), 0.0)
@@ -107,7 +107,7 @@
     assert registry.get("i-1").is_leaving
 
 
-def test_sequence_starts_anew_with_a_later_life():
+def test_sequence_restarts_with_a_later_incarnation():
     """Guards against ignoring a restarted endpoint because its sequence restarts."""
     registry = Registry()
     registry.merge(announcement(sequence=50), 0.0)
@@ -115,7 +115,7 @@
     assert registry.get("i-1").born_ms == 2000
 
 
-def test_address_belongs_to_the_one_born_last():
+def test_address_belongs_to_the_endpoint_started_last():
     """Guards against an address that is assigned to an earlier endpoint by a delayed
     announcement."""
     registry = Registry()
@@ -134,7 +134,7 @@
     assert registry.merge(announcement("other", born_ms=500), 2.0)
 
 
-def test_silent_endpoints_expire():
+def test_endpoints_without_announcements_expire():
     """Guards against keeping crashed endpoints indefinitely."""
     registry = Registry()
     registry.merge(announcement("quiet"), 0.0)
@@ -145,7 +145,7 @@
     assert len(registry) == 1
 
 
-def test_only_news_is_passed_on():
+def test_only_updates_are_distributed():
     """Guards against sending every heartbeat to every entry."""
     registry = Registry()
     registry.merge(announcement(warmup_left_ms=900.0), 0.0)
@@ -163,45 +163,45 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_reader_that_gets_only_what_it_lacks_holds_all_orders(seed):
+def test_subscriber_that_receives_differences_has_the_complete_state(seed):
     """Guards against a departure or configuration that a subscriber never receives,
     because it fetched updates in between or from a replica restored from a snapshot."""
     rng = random.Random(seed)
-    held, reader = Orders(), Orders()
+    state, subscriber = Orders(), Orders()
     for index in range(1, 200):
-        order = rng.choice(
+        command = rng.choice(
             [
                 Depart(f"i-{rng.randrange(30)}", rng.randrange(5)),
                 Evacuate(rng.choice("ab"), rng.random() < 0.5),
                 Configure(index // 20, f"document {index // 20}"),
             ]
         )
-        held.apply(index, order)
+        state.apply(index, command)
         if rng.random() < 0.1:
-            held = decode_orders(held.encode())
+            state = decode_orders(state.encode())
         if rng.random() < 0.3:
-            fields = held.encode_since(reader.index, reader.version)
-            reader = reader.merged(json.loads(json.dumps(fields)))
-            assert reader == held
+            fields = state.encode_since(subscriber.index, subscriber.version)
+            subscriber = subscriber.merged(json.loads(json.dumps(fields)))
+            assert subscriber == state
 
 
 def test_only_a_changed_configuration_is_sent():
     """Guards against sending the complete configuration to every entry whenever an
     endpoint leaves."""
-    held = Orders()
-    held.apply(1, Configure(1, "x" * 50_000))
-    reader = decode_orders(held.encode())
-    held.apply(2, Depart("i-1", 5))
-    fields = held.encode_since(reader.index, reader.version)
+    state = Orders()
+    state.apply(1, Configure(1, "x" * 50_000))
+    subscriber = decode_orders(state.encode())
+    state.apply(2, Depart("i-1", 5))
+    fields = state.encode_since(subscriber.index, subscriber.version)
     assert len(json.dumps(fields)) < 200
-    assert reader.merged(fields) == held
+    assert subscriber.merged(fields) == state
 
 
-def test_orders_on_top_of_unknown_ones_are_rejected():
+def test_difference_to_a_missing_state_is_rejected():
     """Guards against a subscriber that accepts a difference as the complete state."""
-    held = Orders()
-    held.apply(5, Configure(1, "one"))
+    state = Orders()
+    state.apply(5, Configure(1, "one"))
     with pytest.raises(ValueError):
-        Orders().merged(held.encode_since(4, 0))
+        Orders().merged(state.encode_since(4, 0))
     with pytest.raises(KeyError):
-        Orders().merged({**held.encode_since(0, 1), "since": 0})
+        Orders().merged({**state.encode_since(0, 1), "since": 0})
--- a/pollenfold/tests/core/test_register.py
+++ b/pollenfold/tests/core/test_register.py
@@ -23,7 +23,7 @@
 
 NOW = Instant(1000.0)
 BALLOT = (1, "p")
-LATE = RETENTION_MS - 1000
+NEAR_RETENTION_MS = RETENTION_MS - 1000
 
 
 def claimed(*claim_ids):
@@ -37,7 +37,7 @@
 
 C = vote("c")
 D = vote("d")
-LOST = Register(is_vote_unknown=True)
+UNKNOWN_VOTE = Register(is_vote_unknown=True)
 ABANDONED = Value(State.ABANDONED, ("c",))
 COMPLETED = Value(State.COMPLETED, ("c",), Outcome(200))
 
@@ -52,7 +52,7 @@
         (BLANK_REGISTER, Claim("c"), True),
         (C, Claim("c"), True),
         (C, Claim("d"), False),
-        (LOST, Claim("c"), False),
+        (UNKNOWN_VOTE, Claim("c"), False),
         (Register(promised=BALLOT), Claim("c"), False),
         (Register(BALLOT, value=claimed("c")), Claim("c"), False),
         (accepted(claimed("c")), Claim("c"), False),
@@ -64,7 +64,7 @@
         (Register(promised=(1, "q")), Accept(BALLOT, COMPLETED), False),
     ],
 )
-def test_what_a_replica_grants(register, message, is_granted):
+def test_replica_grants_only_permitted_messages(register, message, is_granted):
     """Guards against two votes by one replica, and against violating a promise."""
     after, granted = handle(register, message, NOW)
     assert granted is is_granted
@@ -91,14 +91,14 @@
         (3, [C, D], claimed("c", "d")),
         (3, [C, D, C], claimed("c")),
         (3, [C, BLANK_REGISTER, BLANK_REGISTER], EMPTY),
-        (3, [C, LOST, D], claimed("c", "d")),
-        (3, [C, LOST], OPEN),
+        (3, [C, UNKNOWN_VOTE, D], claimed("c", "d")),
+        (3, [C, UNKNOWN_VOTE], OPEN),
         (3, [C, accepted(ABANDONED)], ABANDONED),
         (3, [accepted(claimed("d"), (2, "q")), accepted(ABANDONED)], claimed("d")),
         (5, [C, D, BLANK_REGISTER], claimed("c", "d")),
         (5, [C, BLANK_REGISTER, BLANK_REGISTER], claimed("c")),
         (5, [C, D, BLANK_REGISTER, BLANK_REGISTER], EMPTY),
-        (5, [C, C, D, LOST], claimed("c", "d")),
+        (5, [C, C, D, UNKNOWN_VOTE], claimed("c", "d")),
         (5, [C, C, C, D], claimed("c")),
     ],
 )
@@ -113,7 +113,7 @@
     [
         ([C, BLANK_REGISTER], C.value, False),
         ([C, D], EMPTY, True),
-        ([LOST, BLANK_REGISTER], EMPTY, True),
+        ([UNKNOWN_VOTE, BLANK_REGISTER], EMPTY, True),
         ([C, accepted(ABANDONED)], ABANDONED, False),
         ([D, accepted(claimed("c"))], claimed("c"), False),
     ],
@@ -128,7 +128,9 @@
 
 
 @pytest.mark.parametrize("old", [ABANDONED, COMPLETED])
-@pytest.mark.parametrize("age_ms, is_doubt", [(LATE, True), (LATE / 2, False)])
+@pytest.mark.parametrize(
+    "age_ms, is_doubt", [(NEAR_RETENTION_MS, True), (NEAR_RETENTION_MS / 2, False)]
+)
 def test_claim_beside_an_expiring_value_is_in_doubt(old, age_ms, is_doubt):
     """Guards against a second execution when one replica still holds a value that the
     others had dropped by age before they accepted a new claim."""
@@ -146,7 +148,7 @@
         (accepted(ABANDONED), True),
         (accepted(claimed("c")), False),
         (accepted(claimed("c", "d")), False),
-        (LOST, False),
+        (UNKNOWN_VOTE, False),
         (Register(BALLOT, promised_at=NOW), False),
     ],
 )
--- a/pollenfold/tests/core/test_warming.py
+++ b/pollenfold/tests/core/test_warming.py
@@ -28,7 +28,7 @@
     return Directory(revision, Instant(float(seen)), entry_ids)
 
 
-ALONE = directory(1, "e1")
+SINGLE_ENTRY = directory(1, "e1")
 
 
 def endpoint_of(owner, entry_ids):
@@ -47,7 +47,7 @@
         self.controller = WarmupController(entry_id, LEASE_MS)
         self.now = Instant(WAIT_MS)
 
-    def limit(self, endpoint, seen=ALONE, zone_version=0):
+    def limit(self, endpoint, seen=SINGLE_ENTRY, zone_version=0):
         return self.controller.limit(endpoint, SPEC, zone_version, seen, self.now)
 
     def record(self, endpoint, n=1, latency_ms=5.0, shed=False, cold=False):
@@ -83,7 +83,7 @@
     assert changes[0].endpoint.warm == WarmState(1, True, 0)
 
 
-def test_ramp_falls_back_on_shedding_and_slowness(sender):
+def test_ramp_is_reduced_on_shedding_and_high_latency(sender):
     """Guards against a ramp that exceeds the capacity of the cold server, or that
     ignores the server's own report."""
     sender.limit(COLD)
@@ -135,7 +135,7 @@
     assert sender.limit(endpoint, later) == expected
 
 
-def test_former_owner_stops_and_starts_anew(sender):
+def test_former_owner_stops_and_restarts_the_ramp(sender):
     """Guards against an owner that keeps sending after losing ownership, or that
     resumes its old ramp when it owns the endpoint again."""
     endpoint = endpoint_of("e2", ("e1", "e2"))
@@ -195,7 +195,7 @@
     assert sender.limit(changes[0].endpoint) == SPEC.cold_slots
 
 
-def test_scattered_signs_do_not_turn_an_endpoint_cold(sender):
+def test_isolated_signs_do_not_mark_an_endpoint_cold(sender):
     """Guards against removing capacity because of ordinary variance."""
     sender.limit(WARM)
     sender.record(WARM, 50)
@@ -205,7 +205,7 @@
         assert sender.record(WARM, 20) == []
 
 
-def test_overload_of_a_service_is_not_coldness(sender):
+def test_overload_of_a_service_does_not_mark_endpoints_cold(sender):
     """Guards against a burst that marks all endpoints as cold, which would reduce
     capacity and worsen the overload."""
     endpoints = [replace(WARM, port=1000 + n) for n in range(12)]
@@ -231,7 +231,7 @@
     assert sender.limit(make_endpoint(incarnation=2)) == SPEC.cold_slots
 
 
-def test_forgotten_endpoints_leave_no_state(sender):
+def test_removed_endpoints_leave_no_state(sender):
     """Guards against keeping state for every server that ever existed."""
     sender.limit(COLD)
     sender.controller.retain(COLD.service, set())
