--- a/pollenfold/core/directory.py
+++ b/pollenfold/core/directory.py
@@ -188,26 +188,30 @@
             return Failure(ErrorKind.FLEET_FULL, f"max_entries is {max_entries}")
         return None
 
-    def grant(self, entry: LiveEntry, acknowledged: int, now: Instant) -> bool:
+    def grant(self, entry: LiveEntry, acknowledged_revision: int, now: Instant) -> bool:
         """Grant or renew a lease from now on; return whether the directory changed."""
         expires_at = add_ms(now, self.lease_ms + LEASE_MARGIN_MS)
         key = (entry.entry_id, entry.incarnation)
         lease = self._leases.get(key)
         if lease is None:
-            self._leases[key] = _Lease(entry, expires_at, acknowledged)
+            self._leases[key] = _Lease(entry, expires_at, acknowledged_revision)
             return self._publish()
         lease.expires_at = max(lease.expires_at, expires_at)
-        lease.acknowledged_revision = max(lease.acknowledged_revision, acknowledged)
+        lease.acknowledged_revision = max(
+            lease.acknowledged_revision, acknowledged_revision
+        )
         if lease.entry != entry:
             lease.entry = entry
             return self._publish()
         return False
 
-    def acknowledge(self, entry: LiveEntry, acknowledged: int) -> None:
+    def acknowledge(self, entry: LiveEntry, acknowledged_revision: int) -> None:
         """Record the revision that an entry with a lease has applied."""
         lease = self._leases.get((entry.entry_id, entry.incarnation))
         if lease is not None:
-            lease.acknowledged_revision = max(lease.acknowledged_revision, acknowledged)
+            lease.acknowledged_revision = max(
+                lease.acknowledged_revision, acknowledged_revision
+            )
 
     def in_force_revision(self, revision: int, now: Instant) -> int:
         """Return the highest revision in force; ``revision`` is the newest one.
@@ -217,12 +221,12 @@
         """
         self.expire(now)
         if self.is_settled(now):
-            lowest = min(
+            lowest_acknowledged = min(
                 (lease.acknowledged_revision for lease in self._leases.values()),
                 default=revision,
             )
             self._in_force_revision = max(
-                self._in_force_revision, min(lowest, revision)
+                self._in_force_revision, min(lowest_acknowledged, revision)
             )
         return self._in_force_revision
 
--- a/pollenfold/core/endpoints.py
+++ b/pollenfold/core/endpoints.py
@@ -27,7 +27,7 @@
     is_warm: bool = False
     zone_version: int = 0
 
-    def order(self) -> tuple[int, int, bool]:
+    def merge_key(self) -> tuple[int, int, bool]:
         """Return the sort key for merges; at equal epochs cold wins over warm."""
         return (self.zone_version, self.epoch, not self.is_warm)
 
@@ -96,7 +96,7 @@
     return replace(
         newer,
         is_leaving=left.is_leaving or right.is_leaving,
-        warm=max(left.warm, right.warm, key=WarmState.order),
+        warm=max(left.warm, right.warm, key=WarmState.merge_key),
     )
 
 
--- a/pollenfold/core/membership.py
+++ b/pollenfold/core/membership.py
@@ -104,7 +104,7 @@
         f"{endpoint.service}\0{endpoint.host}\0{endpoint.port}\0{endpoint.zone}\0"
         f"{endpoint.incarnation}\0{high}\0{float(endpoint.ttl_ms)}\0"
         f"{endpoint.slots}\0{endpoint.connections}\0{endpoint.is_leaving:d}\0"
-        f"{endpoint.warm.order()}"
+        f"{endpoint.warm.merge_key()}"
     )
     return int(xxhash.xxh3_64_intdigest(fields.encode()))
 
--- a/pollenfold/core/orders.py
+++ b/pollenfold/core/orders.py
@@ -41,9 +41,9 @@
 Order = Configure | Evacuate | Depart
 
 
-def encode_order(order: Order) -> bytes:
+def encode_order(command: Order) -> bytes:
     """Return the command as the bytes of a log entry."""
-    match order:
+    match command:
         case Configure(version, document):
             fields: list[Any] = ["configure", version, document]
         case Evacuate(zone, is_out):
@@ -85,10 +85,10 @@
     departure_indices: dict[str, int] = field(default_factory=dict, compare=False)
     """The log index of each departure; for those read from a snapshot, its index."""
 
-    def apply(self, index: int, order: Order) -> bool:
+    def apply(self, index: int, command: Order) -> bool:
         """Apply a command; return whether it changed the state."""
         self.index = index
-        match order:
+        match command:
             case Configure(version, document):
                 if version <= self.version:
                     return False
--- a/pollenfold/core/ownership.py
+++ b/pollenfold/core/ownership.py
@@ -46,10 +46,10 @@
 class Ownership:
     """When this entry became the warm-up owner of an endpoint; None if it is not."""
 
-    __slots__ = ("since", "revision", "generation")
+    __slots__ = ("owned_since", "revision", "generation")
 
     def __init__(self) -> None:
-        self.since: Instant | None = None
+        self.owned_since: Instant | None = None
         self.revision = -1
         self.generation = -1
 
@@ -82,18 +82,18 @@
 
     def update(self, ownership: Ownership, key: EndpointKey) -> bool:
         """Update an ownership to the latest directory; return whether it changed."""
-        before = ownership.since
-        is_continued = ownership.generation == self._generation
-        if not is_continued or self._directories[0].revision > ownership.revision + 1:
-            ownership.since = None
+        before = ownership.owned_since
+        has_no_gap = ownership.generation == self._generation
+        if not has_no_gap or self._directories[0].revision > ownership.revision + 1:
+            ownership.owned_since = None
             ownership.revision = -1
         for directory in self._directories:
             if directory.revision <= ownership.revision:
                 continue
             if warmup_owner(directory.entry_ids, key) != self._entry_id:
-                ownership.since = None
-            elif ownership.since is None:
-                ownership.since = directory.first_seen
+                ownership.owned_since = None
+            elif ownership.owned_since is None:
+                ownership.owned_since = directory.first_seen
         ownership.generation = self._generation
         ownership.revision = self._directories[-1].revision
-        return ownership.since != before
+        return ownership.owned_since != before
--- a/pollenfold/core/registry.py
+++ b/pollenfold/core/registry.py
@@ -102,23 +102,23 @@
     """The newest announcement of each endpoint."""
 
     def __init__(self) -> None:
-        self._known: dict[str, Known] = {}
+        self._records: dict[str, Known] = {}
         self._by_address: dict[tuple[str, int], str] = {}
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._records)
 
     def __contains__(self, endpoint_id: str) -> bool:
-        return endpoint_id in self._known
+        return endpoint_id in self._records
 
     def get(self, endpoint_id: str) -> Announcement | None:
         """Return the newest announcement of an endpoint."""
-        known = self._known.get(endpoint_id)
+        known = self._records.get(endpoint_id)
         return None if known is None else known.announcement
 
-    def known(self, endpoint_id: str) -> Known | None:
+    def get_record(self, endpoint_id: str) -> Known | None:
         """Return the newest announcement of an endpoint and its receive times."""
-        return self._known.get(endpoint_id)
+        return self._records.get(endpoint_id)
 
     def merge(self, announcement: Announcement, now: Instant) -> bool:
         """Merge an announcement; return whether it contains an update.
@@ -128,32 +128,32 @@
         of the earlier one must have been delayed.
         """
         endpoint_id = announcement.endpoint_id
-        known = self._known.get(endpoint_id)
+        known = self._records.get(endpoint_id)
         if known is not None and announcement.order <= known.announcement.order:
             if announcement.order == known.announcement.order:
                 known.heard_at = now
             return False
         address = (announcement.host, announcement.port)
-        holder = self.get(self._by_address.get(address, ""))
-        if holder is not None and holder.endpoint_id != endpoint_id:
-            if holder.born_ms > announcement.born_ms:
+        current_owner = self.get(self._by_address.get(address, ""))
+        if current_owner is not None and current_owner.endpoint_id != endpoint_id:
+            if current_owner.born_ms > announcement.born_ms:
                 return False
-            self.remove(holder.endpoint_id)
+            self.remove(current_owner.endpoint_id)
         if known is not None:
             self.remove(endpoint_id)
-        self._known[endpoint_id] = Known(announcement, now, now)
+        self._records[endpoint_id] = Known(announcement, now, now)
         self._by_address[address] = endpoint_id
         return known is None or _has_update(known.announcement, announcement)
 
     def hear(self, endpoint_id: str, now: Instant) -> None:
         """Record that an endpoint repeated its newest announcement."""
-        known = self._known.get(endpoint_id)
+        known = self._records.get(endpoint_id)
         if known is not None:
             known.heard_at = now
 
     def remove(self, endpoint_id: str) -> None:
         """Remove an endpoint."""
-        known = self._known.pop(endpoint_id, None)
+        known = self._records.pop(endpoint_id, None)
         if known is None:
             return
         address = (known.announcement.host, known.announcement.port)
@@ -162,18 +162,18 @@
 
     def expire(self, received_before: Instant) -> list[str]:
         """Remove endpoints with no announcement since an instant; return their ids."""
-        expired = [k for k, v in self._known.items() if v.heard_at < received_before]
+        expired = [k for k, v in self._records.items() if v.heard_at < received_before]
         for endpoint_id in expired:
             self.remove(endpoint_id)
         return expired
 
     def all_known(self) -> Iterable[Known]:
         """Return the newest announcement of each endpoint and its receive times."""
-        return self._known.values()
+        return self._records.values()
 
     def announcements(self) -> Iterable[Announcement]:
         """Return the newest announcement of each endpoint."""
-        return [known.announcement for known in self._known.values()]
+        return [known.announcement for known in self._records.values()]
 
 
 def _has_update(before: Announcement, after: Announcement) -> bool:
@@ -190,10 +190,10 @@
     )
 
 
-def may_get_work(announcement: Announcement, orders: Orders) -> bool:
+def may_get_work(announcement: Announcement, state: Orders) -> bool:
     """Return whether new requests may go to an endpoint, cold or warm."""
     return (
         not announcement.is_leaving
-        and announcement.zone not in orders.evacuated
-        and not orders.has_departed(announcement.endpoint_id, announcement.born_ms)
+        and announcement.zone not in state.evacuated
+        and not state.has_departed(announcement.endpoint_id, announcement.born_ms)
     )
--- a/pollenfold/core/warming.py
+++ b/pollenfold/core/warming.py
@@ -226,7 +226,7 @@
                 return None
         if state.is_warm:
             return self._record_warm(state, latency_ms, was_shed, reported_cold, now)
-        if state.ownership.since is None:
+        if state.ownership.owned_since is None:
             return None
         return self._record_ramp(state, latency_ms, was_shed, reported_cold)
 
@@ -255,7 +255,7 @@
         before = state.endpoint
         if (
             endpoint.incarnation == before.incarnation
-            and endpoint.warm.order() < before.warm.order()
+            and endpoint.warm.merge_key() < before.warm.merge_key()
         ):
             # The table has not merged a change of ``record`` yet.
             endpoint = before
@@ -285,12 +285,12 @@
             n_entries = len(state.directory.entry_ids) if state.directory else 1
             share = ceil(WARM_SHARE_FACTOR * state.slots / max(1, n_entries))
             state.limit = min(state.slots, max(MIN_WARM_SHARE, share))
-        elif state.ownership.since is None:
+        elif state.ownership.owned_since is None:
             state.limit = 0
         else:
             state.limit = min(state.ramp_limit, state.slots)
             wait_ms = self._lease_ms + state.spec.timeout_ms
-            state.ready_at = state.ownership.since + wait_ms
+            state.ready_at = state.ownership.owned_since + wait_ms
 
     def _record_ramp(
         self,
