--- a/pollenfold/core/claims.py
+++ b/pollenfold/core/claims.py
@@ -5,24 +5,26 @@
 
 **Why at most one claim is dispatched.** A claimant dispatches in two cases only: a
 majority granted its claim at ballot 0, or a majority granted an *accept* of its claim
-that it proposed itself at a higher ballot. A claim id that shows up in a promise or
-in a refusal is never enough, since it may be one vote of a minority.
+that it proposed itself at a higher ballot. A claim id that appears in a promise or
+in a refusal is never sufficient, since it may be one vote of a minority.
 
 Two claims can't both have a majority at ballot 0, since a replica votes once. If a
-claim had a majority there, every later majority of promises shows enough votes and
-silent replicas for it, so recovery keeps it or is in doubt; in doubt no claim is
-proposed. A higher ballot proposes the claimant's own claim only when the register is
-recovered as empty or abandoned, or when it holds that very claim; the claimant has
-not dispatched at that time, because it stops counting its votes at ballot 0 before
-it prepares. For the same reason it takes its own claim out of a doubt: the others
-that may have been dispatched stay in the register. Once a claim is chosen, every
-later value is computed from it, and only its own claimant replaces it.
+claim had a majority there, then in every later majority of promises its votes plus
+the replicas that did not respond add up to a majority, so recovery keeps the claim or
+returns an in-doubt value; in doubt no claim is proposed. A higher ballot proposes the
+claimant's own claim only when the register is recovered as empty or abandoned, or
+when it holds that very claim; the claimant has not dispatched at that time, because
+it stops counting its votes at ballot 0 before it prepares. For the same reason it
+removes its own claim from an in-doubt value: the other claims that may have been
+dispatched stay in the register. Once a claim is chosen, every later value is computed
+from it, and only its own claimant replaces it.
 
 **Why votes carry an epoch.** A replica may grant a claim, lose its disk, copy the
-others before the claim reached them and grant another claim. The old vote and a later
-one together are no majority. So a replica that lost its disk tells the others its new
-epoch before it copies them: a vote given before that is in the copy, and one given
-after it comes with the new epoch, which makes the claimant drop the old vote.
+registers of the other replicas before the claim reached them, and grant another
+claim. The old vote and a later one together are no majority. So a replica that lost
+its disk announces its new epoch to the other replicas before it copies their
+registers: a vote granted before that is in the copy, and one granted after it carries
+the new epoch, which makes the claimant discard the old vote.
 """
 
 from __future__ import annotations
@@ -50,8 +52,8 @@
 )
 
 MAX_ROUNDS = 6
-"""Rounds above ballot 0 until an operation gives up; competing claimants settle in
-one or two with the pause between rounds."""
+"""Rounds above ballot 0 before an operation gives up. With the pause between rounds,
+competing claimants need one or two."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """The request ran earlier; a resend gets this response."""
+    """The request was executed earlier; a resend receives this response."""
 
     outcome: Outcome
 
@@ -73,19 +75,22 @@
 
 @dataclass(frozen=True, slots=True)
 class InDoubt:
-    """The request may have run and no outcome is known; it is not run again."""
+    """The request may have been executed and its outcome is unknown.
+
+    It is not executed again.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """No majority answered. The claim may be stored: abandon it before a refusal."""
+    """No majority responded. The claim may be stored: abandon it before refusing."""
 
 
 ClaimAnswer = Claimed | Completed | InProgress | InDoubt | Unavailable
 
 T = TypeVar("T")
 Decision = Callable[[Value, float], tuple[Value, T]]
-"""Takes the recovered value and its age in ms; returns what to store and to answer."""
+"""Maps the recovered value and its age in ms to the value to store and the result."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finish(Generic[T]):
-    """The operation is over."""
+    """The operation has ended with this result."""
 
     answer: T
 
@@ -114,9 +119,10 @@
 
 
 class Operation(Generic[T]):
-    """One claim, abandon or complete: at most one round at ballot 0, then rounds.
+    """One claim, abandon or complete operation.
 
-    ``proposer`` must be unique to the operation. ``unavailable`` is the answer when
+    It sends at most one message at ballot 0, followed by rounds at higher ballots.
+    ``proposer`` must be unique to the operation. ``unavailable`` is the result when
     no majority can be reached. Events of an earlier phase are ignored.
     """
 
@@ -135,7 +141,7 @@
         self._decide = decide
         self.unavailable = unavailable
         self._claim = claim
-        self._claimed = claimed
+        self._claimed_result = claimed
         self._message: Message | None = None
         self._phase = 0
         self._n_rounds = 0
@@ -144,7 +150,7 @@
         self._replies: dict[int, Reply] = {}
         self._failed: set[int] = set()
         self._epochs = (0,) * n_replicas
-        self._answer: T | None = None
+        self._result: T | None = None
 
     def start(self) -> Action[T]:
         """Return the first action."""
@@ -159,20 +165,20 @@
         return self._send(Prepare(self._ballot))
 
     def on_reply(self, phase: int, replica: int, reply: Reply) -> Action[T] | None:
-        """Take the reply of one replica; return an action when one is due."""
+        """Process the reply of one replica; return the next action, if any."""
         if phase != self._phase or replica in self._failed:
             return None
         self._epochs = tuple(map(max, self._epochs, reply.epochs))
         self._highest = max(self._highest, reply.register.promised)
         self._replies[replica] = reply
-        return self._advance()
+        return self._evaluate_replies()
 
     def on_failure(self, phase: int, replica: int) -> Action[T] | None:
-        """Note that a replica did not answer in time."""
+        """Record a replica's missing reply; return the next action, if any."""
         if phase != self._phase or replica in self._replies:
             return None
         self._failed.add(replica)
-        return self._advance()
+        return self._evaluate_replies()
 
     def _send(self, message: Message) -> Send:
         self._phase += 1
@@ -181,9 +187,9 @@
         self._failed = set()
         return Send(self._phase, message)
 
-    def _finish(self, answer: T) -> Finish[T]:
+    def _finish(self, result: T) -> Finish[T]:
         self._phase += 1
-        return Finish(answer)
+        return Finish(result)
 
     def _pause(self) -> Action[T]:
         if self._n_rounds >= MAX_ROUNDS:
@@ -191,16 +197,16 @@
         self._phase += 1
         return Pause(self._n_rounds)
 
-    def _valid(self) -> list[Reply]:
-        """Replies of replicas that have not lost their disk since they replied."""
+    def _valid_replies(self) -> list[Reply]:
+        """Return the replies of replicas that have not lost their disk since."""
         return [
             reply
             for replica, reply in self._replies.items()
             if reply.epochs[replica] >= self._epochs[replica]
         ]
 
-    def _advance(self) -> Action[T] | None:
-        valid = self._valid()
+    def _evaluate_replies(self) -> Action[T] | None:
+        valid = self._valid_replies()
         granted = [reply for reply in valid if reply.is_granted]
         n_missing = self._n_replicas - len(self._replies) - len(self._failed)
         if len(granted) >= self._majority:
@@ -210,32 +216,33 @@
         if len(valid) < self._majority:
             return self._finish(self.unavailable) if n_missing == 0 else None
         if isinstance(self._message, Claim):
-            return self._after_split(valid)
+            return self._resolve_split_vote(valid)
         return self._pause()
 
     def _on_majority(self, granted: list[Reply], n_missing: int) -> Action[T] | None:
         if isinstance(self._message, Claim):
-            assert self._claimed is not None
-            return self._finish(self._claimed)
+            assert self._claimed_result is not None
+            return self._finish(self._claimed_result)
         if isinstance(self._message, Accept):
-            assert self._answer is not None
-            return self._finish(self._answer)
+            assert self._result is not None
+            return self._finish(self._result)
         promises = [(reply.register, reply.age_ms) for reply in granted]
         value = recover(promises, self._n_replicas)
         is_new_doubt = value.state is State.IN_DOUBT and all(
             reply.register.accepted == OPEN_BALLOT for reply in granted
         )
         if is_new_doubt and n_missing:
-            # The replies that are still to come often leave one claim only.
+            # The missing replies often leave only one claim that can have a majority.
             return None
-        new_value, self._answer = self._decide(value, _age_ms(value, granted))
+        new_value, self._result = self._decide(value, _age_ms(value, granted))
         return self._send(Accept(self._ballot, new_value))
 
-    def _after_split(self, valid: list[Reply]) -> Action[T]:
-        """Answer from a majority with one foreign value, else start a round.
+    def _resolve_split_vote(self, valid: list[Reply]) -> Action[T]:
+        """Finish if a majority holds one value of another claimant, else start a round.
 
-        The value may not be chosen, but an answer about a foreign claim allows no
-        dispatch. The own claim needs a round, since its votes may be superseded.
+        That value need not be chosen, but a result about another claim never permits
+        a dispatch. The operation's own claim needs a round, since its votes may be
+        superseded.
         """
         assert self._claim is not None
         for reply in valid:
@@ -243,10 +250,10 @@
             is_own = self._claim.claim_id in value.claim_ids
             if is_own or value.state not in (State.CLAIMED, State.COMPLETED):
                 continue
-            same = [other for other in valid if other.register.value == value]
-            if len(same) >= self._majority:
-                _, answer = self._decide(value, _age_ms(value, same))
-                return self._finish(answer)
+            matching = [other for other in valid if other.register.value == value]
+            if len(matching) >= self._majority:
+                _, result = self._decide(value, _age_ms(value, matching))
+                return self._finish(result)
         return self.resume()
 
 
@@ -267,20 +274,20 @@
     """Return the operation that claims a key.
 
     ``claim_id`` must be new for every call: a second ``Claimed`` for one id would
-    let its request run twice. A claim without outcome that is older than
-    ``max_age_ms`` gives ``InDoubt``.
+    allow its request to be executed twice. A claim without an outcome that is at
+    least ``max_age_ms`` old results in ``InDoubt``.
     """
 
     def decide(value: Value, age_ms: float) -> tuple[Value, ClaimAnswer]:
-        rest = withdraw(value, claim_id)
-        if rest.state in (State.EMPTY, State.ABANDONED):
+        remaining = withdraw(value, claim_id)
+        if remaining.state in (State.EMPTY, State.ABANDONED):
             return Value(State.CLAIMED, (claim_id,)), Claimed()
-        if rest.state is State.COMPLETED:
-            assert rest.outcome is not None
-            return rest, Completed(rest.outcome)
-        if rest.state is State.CLAIMED and age_ms < max_age_ms:
-            return rest, InProgress()
-        return rest, InDoubt()
+        if remaining.state is State.COMPLETED:
+            assert remaining.outcome is not None
+            return remaining, Completed(remaining.outcome)
+        if remaining.state is State.CLAIMED and age_ms < max_age_ms:
+            return remaining, InProgress()
+        return remaining, InDoubt()
 
     return Operation[ClaimAnswer](
         n_replicas, proposer, decide, Unavailable(), Claim(claim_id), Claimed()
@@ -290,20 +297,20 @@
 def abandon(
     n_replicas: int, proposer: str, claim_id: str
 ) -> Operation[Result[None, ErrorKind]]:
-    """Return the operation that gives up a claim whose request did not run.
+    """Return the operation that gives up a claim whose request was not executed.
 
     It succeeds only when the key is stored as abandoned. While another claim holds
-    the key the request may run there: that gives ``IN_PROGRESS``, or
+    the key, that claimant may execute the request: the result is ``IN_PROGRESS``, or
     ``OUTCOME_UNKNOWN`` when the key is in doubt or completed by another claim.
     """
 
     def decide(value: Value, _: float) -> tuple[Value, Result[None, ErrorKind]]:
-        rest = withdraw(value, claim_id)
-        if rest.state in (State.EMPTY, State.ABANDONED):
+        remaining = withdraw(value, claim_id)
+        if remaining.state in (State.EMPTY, State.ABANDONED):
             return Value(State.ABANDONED, (claim_id,)), Ok(None)
-        is_claimed = rest.state is State.CLAIMED
+        is_claimed = remaining.state is State.CLAIMED
         kind = ErrorKind.IN_PROGRESS if is_claimed else ErrorKind.OUTCOME_UNKNOWN
-        return rest, Error(kind)
+        return remaining, Error(kind)
 
     unavailable: Result[None, ErrorKind] = Error(ErrorKind.LEDGER_UNAVAILABLE)
     return Operation[Result[None, ErrorKind]](n_replicas, proposer, decide, unavailable)
@@ -314,8 +321,8 @@
 ) -> Operation[Result[None, ErrorKind]]:
     """Return the operation that stores the outcome of a dispatched claim.
 
-    The first outcome stays: another one, or a claim that does not hold the key,
-    gives ``OUTCOME_UNKNOWN``.
+    The first outcome is final: a different outcome, or a claim that does not hold the
+    key, results in ``OUTCOME_UNKNOWN``.
     """
     completed = Value(State.COMPLETED, (claim_id,), outcome)
 
--- a/pollenfold/core/directory.py
+++ b/pollenfold/core/directory.py
@@ -8,13 +8,13 @@
 from .errors import ErrorKind, Failure
 
 LEASE_MS = 2000.0
-"""Bounds how long a partitioned entry takes work under an old configuration."""
+"""Bounds how long a partitioned entry accepts requests under an old configuration."""
 
 LEASE_MARGIN_MS = 50.0
-"""Covers clocks that differ in rate: 2.5% of a lease, far above any real one."""
+"""Covers clock rate differences: 2.5% of a lease, far above any real clock drift."""
 
-NOTICE_KEPT_MS = 60_000.0
-"""How long a leave notice is passed on; by then its endpoint has expired."""
+NOTICE_RETENTION_MS = 60_000.0
+"""How long a leave notice is distributed; by then its endpoint has expired."""
 
 MAX_EPOCH_CHANGES = 1 << 24
 
@@ -23,8 +23,8 @@
 class LiveEntry:
     """An entry and its addresses.
 
-    ``incarnation`` tells two processes with the same id apart; the later one has
-    the higher value.
+    ``incarnation`` distinguishes processes with the same id; a later process has a
+    higher value.
     """
 
     entry_id: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveNotice:
-    """The endpoint ``ip:port`` left the service in this incarnation."""
+    """This incarnation of the endpoint ``ip:port`` left the service."""
 
     endpoint: str
     service: str
@@ -48,14 +48,14 @@
 @dataclass(slots=True)
 class _Lease:
     entry: LiveEntry
-    until: Instant
-    acknowledged: int
+    expires_at: Instant
+    acknowledged_revision: int
 
 
 @dataclass(frozen=True, slots=True)
-class _Notice:
+class _StoredNotice:
     notice: LeaveNotice
-    noted_at: Instant
+    left_at: Instant
     sequence: int
 
 
@@ -66,41 +66,41 @@
     """
 
     def __init__(self) -> None:
-        self._notices: dict[str, _Notice] = {}
+        self._notices: dict[str, _StoredNotice] = {}
         self.sequence = 0
 
     def add(self, notice: LeaveNotice, age_ms: float, now: Instant) -> bool:
-        """Keep a notice of the given age; return whether it is new."""
-        if not 0 <= age_ms < NOTICE_KEPT_MS:
+        """Store a notice of the given age; return whether it is new."""
+        if not 0 <= age_ms < NOTICE_RETENTION_MS:
             return False
-        known = self._notices.get(notice.endpoint)
-        if known is not None and known.notice.incarnation >= notice.incarnation:
+        previous = self._notices.get(notice.endpoint)
+        if previous is not None and previous.notice.incarnation >= notice.incarnation:
             return False
         self.sequence += 1
-        noted_at = Instant(now - age_ms)
-        # Removing the key first keeps the dictionary in the order of the sequence.
+        left_at = Instant(now - age_ms)
+        # Removing the key first keeps the dictionary sorted by sequence number.
         self._notices.pop(notice.endpoint, None)
-        self._notices[notice.endpoint] = _Notice(notice, noted_at, self.sequence)
+        self._notices[notice.endpoint] = _StoredNotice(notice, left_at, self.sequence)
         return True
 
     def since(
         self, sequence: int, now: Instant
     ) -> list[tuple[int, LeaveNotice, float]]:
-        """Return sequence, notice and age in ms of the notices after the sequence."""
-        self._drop_old(now)
+        """Return the notices after ``sequence``, each with its number and age in ms."""
+        self._drop_expired(now)
         return [
-            (kept.sequence, kept.notice, now - kept.noted_at)
+            (kept.sequence, kept.notice, now - kept.left_at)
             for kept in self._notices.values()
             if kept.sequence > sequence
         ]
 
-    def _drop_old(self, now: Instant) -> None:
-        old = [
+    def _drop_expired(self, now: Instant) -> None:
+        expired = [
             endpoint
             for endpoint, kept in self._notices.items()
-            if now - kept.noted_at >= NOTICE_KEPT_MS
+            if now - kept.left_at >= NOTICE_RETENTION_MS
         ]
-        for endpoint in old:
+        for endpoint in expired:
             del self._notices[endpoint]
 
 
@@ -108,9 +108,9 @@
     """The leases that one control leader granted.
 
     ``epoch`` is higher for every later leader. A new leader doesn't know the leases
-    that the previous one granted; until the last of these has ended it is not
-    *settled*: it reports nothing in force, publishes no directory, and grants leases
-    only to entries that still hold one.
+    that the previous one granted. Until the last of these has expired the leader is
+    not *settled*: it reports no revision as in force, publishes no directory, and
+    grants leases only to entries that still hold one.
     """
 
     def __init__(
@@ -123,31 +123,33 @@
         self._leases: dict[tuple[str, int], _Lease] = {}
         self._published: dict[str, LiveEntry] = {}
         self._n_changes = 1
-        self._in_force = 0
+        self._in_force_revision = 0
 
     def is_settled(self, now: Instant) -> bool:
-        """Return whether every lease of the previous leader has ended."""
+        """Return whether every lease of the previous leader has expired."""
         return now >= self._settled_at
 
     def published_revision(self, now: Instant) -> int:
-        """Return the revision of the directory, or 0 while it isn't known yet.
+        """Return the revision of the directory, or 0 while the leader isn't settled.
 
-        Revisions rise from one leader to the next.
+        Revisions increase from one leader to the next.
         """
         if not self.is_settled(now):
             return 0
         return self.epoch * MAX_EPOCH_CHANGES + self._n_changes
 
     def live_entries(self) -> tuple[LiveEntry, ...]:
-        """Return the entries with a lease, one for each id, ordered by id."""
+        """Return the entries with a lease, one per id, sorted by id."""
         return tuple(self._published[name] for name in sorted(self._published))
 
     def expire(self, now: Instant) -> bool:
-        """Drop leases that have ended; return whether the directory changed."""
-        ended = [key for key, lease in self._leases.items() if now >= lease.until]
-        for key in ended:
+        """Remove expired leases; return whether the directory changed."""
+        expired = [
+            key for key, lease in self._leases.items() if now >= lease.expires_at
+        ]
+        for key in expired:
             del self._leases[key]
-        return bool(ended) and self._publish()
+        return bool(expired) and self._publish()
 
     def check(
         self,
@@ -157,24 +159,27 @@
         admits_new: bool,
         now: Instant,
     ) -> Failure | None:
-        """Return why the entry gets no lease, or None when it gets one.
+        """Return why the entry is refused a lease, or None if it may have one.
 
-        ``admits_new`` is false while a change of ``max_entries`` isn't in force:
-        entries then still divide budgets by different numbers.
+        ``admits_new`` is false while a change of ``max_entries`` isn't in force yet,
+        because the entries still divide budgets by different numbers.
         """
         self.expire(now)
         for lease in self._leases.values():
-            other = lease.entry
-            if other.entry_id == entry.entry_id:
-                if other.incarnation > entry.incarnation:
-                    detail = f"a later process has the entry id {entry.entry_id}"
+            leased = lease.entry
+            if leased.entry_id == entry.entry_id:
+                if leased.incarnation > entry.incarnation:
+                    detail = f"a newer process uses the entry id {entry.entry_id}"
                     return Failure(ErrorKind.BAD_REQUEST, detail)
         key = (entry.entry_id, entry.incarnation)
         if key in self._leases:
-            # Those that came last give way when the limit was lowered.
+            # After the limit is lowered, the most recently added entries are refused.
             n_before = list(self._leases).index(key)
         elif not self.is_settled(now) and not holds_lease:
-            return Failure(ErrorKind.NOT_READY, "the leader is new")
+            return Failure(
+                ErrorKind.NOT_READY,
+                "waiting for leases of the previous leader to expire",
+            )
         elif self.is_settled(now) and not admits_new:
             return Failure(ErrorKind.NOT_READY, "the fleet record is not in force yet")
         else:
@@ -183,57 +188,63 @@
             return Failure(ErrorKind.FLEET_FULL, f"max_entries is {max_entries}")
         return None
 
-    def grant(self, entry: LiveEntry, acknowledged: int, now: Instant) -> bool:
-        """Note a lease that starts now; return whether the directory changed."""
-        until = add_ms(now, self.lease_ms + LEASE_MARGIN_MS)
+    def grant(self, entry: LiveEntry, acknowledged_revision: int, now: Instant) -> bool:
+        """Grant or renew a lease from now on; return whether the directory changed."""
+        expires_at = add_ms(now, self.lease_ms + LEASE_MARGIN_MS)
         key = (entry.entry_id, entry.incarnation)
         lease = self._leases.get(key)
         if lease is None:
-            self._leases[key] = _Lease(entry, until, acknowledged)
+            self._leases[key] = _Lease(entry, expires_at, acknowledged_revision)
             return self._publish()
-        lease.until = max(lease.until, until)
-        lease.acknowledged = max(lease.acknowledged, acknowledged)
+        lease.expires_at = max(lease.expires_at, expires_at)
+        lease.acknowledged_revision = max(
+            lease.acknowledged_revision, acknowledged_revision
+        )
         if lease.entry != entry:
             lease.entry = entry
             return self._publish()
         return False
 
-    def acknowledge(self, entry: LiveEntry, acknowledged: int) -> None:
-        """Note the revision that an entry with a lease has applied."""
+    def acknowledge(self, entry: LiveEntry, acknowledged_revision: int) -> None:
+        """Record the revision that an entry with a lease has applied."""
         lease = self._leases.get((entry.entry_id, entry.incarnation))
         if lease is not None:
-            lease.acknowledged = max(lease.acknowledged, acknowledged)
+            lease.acknowledged_revision = max(
+                lease.acknowledged_revision, acknowledged_revision
+            )
 
     def in_force_revision(self, revision: int, now: Instant) -> int:
         """Return the highest revision in force; ``revision`` is the newest one.
 
-        It never falls: an entry that comes back with an older revision gets no
-        lease before it has applied the newest one.
+        It never decreases: an entry that returns with an older revision gets no lease
+        before it has applied the newest one.
         """
         self.expire(now)
         if self.is_settled(now):
-            lowest = min(
-                (lease.acknowledged for lease in self._leases.values()),
+            lowest_acknowledged = min(
+                (lease.acknowledged_revision for lease in self._leases.values()),
                 default=revision,
             )
-            self._in_force = max(self._in_force, min(lowest, revision))
-        return self._in_force
+            self._in_force_revision = max(
+                self._in_force_revision, min(lowest_acknowledged, revision)
+            )
+        return self._in_force_revision
 
     def entries_behind(self, revision: int, now: Instant) -> list[str]:
-        """Return the ids of entries with a lease that have an older revision."""
+        """Return the ids of leased entries that have applied only an older revision."""
         self.expire(now)
-        behind = {
+        outdated = {
             lease.entry.entry_id
             for lease in self._leases.values()
-            if lease.acknowledged < revision
+            if lease.acknowledged_revision < revision
         }
-        return sorted(behind)
+        return sorted(outdated)
 
     def _publish(self) -> bool:
         published: dict[str, LiveEntry] = {}
         for lease in self._leases.values():
-            known = published.get(lease.entry.entry_id)
-            if known is None or known.incarnation < lease.entry.incarnation:
+            listed = published.get(lease.entry.entry_id)
+            if listed is None or listed.incarnation < lease.entry.incarnation:
                 published[lease.entry.entry_id] = lease.entry
         if published == self._published:
             return False
--- a/pollenfold/core/registry.py
+++ b/pollenfold/core/registry.py
@@ -1,7 +1,8 @@
-"""Endpoints as they announce themselves, and which of them may get work.
+"""Announced endpoints, and which of them may receive new requests.
 
-Announcements may come late, twice and out of order. One life of an endpoint is named
-by its id and its start; a higher sequence number is the newer word of one life.
+Announcements may arrive late, repeatedly and out of order. An incarnation of an
+endpoint is identified by its id and start time; among the announcements of one
+incarnation the highest sequence number is the newest.
 """
 
 from __future__ import annotations
@@ -15,10 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """What an endpoint says of itself.
+    """The state that an endpoint announces.
 
-    ``born_ms`` is its start in ms since 1970 on its own clock; it only orders the
-    lives of one id or one address. ``warmup_left_ms`` is how long it stays cold.
+    ``born_ms`` is its start time in ms since 1970 by its own clock, used only to order
+    the incarnations of one id or one address. ``warmup_left_ms`` is how long the
+    endpoint remains cold.
     """
 
     endpoint_id: str
@@ -34,7 +36,7 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """Return what orders the announcements of one id."""
+        """Return the sort key of the announcements of one id."""
         return self.born_ms, self.sequence
 
     def encode(self) -> list[object]:
@@ -54,7 +56,7 @@
 
 
 def decode_announcement(fields: list[object]) -> Announcement:
-    """Read the fields of ``encode``; raise ValueError when they are others."""
+    """Decode the fields of ``encode``; raise ValueError if they are malformed."""
     match fields:
         case [
             str(endpoint_id),
@@ -85,7 +87,11 @@
 
 @dataclass(slots=True)
 class Known:
-    """The newest announcement of an endpoint, with when it and any word came."""
+    """The newest announcement of an endpoint.
+
+    ``announced_at`` is when it was first received, and ``heard_at`` when it or a
+    repetition of it was last received.
+    """
 
     announcement: Announcement
     announced_at: Instant
@@ -96,82 +102,82 @@
     """The newest announcement of each endpoint."""
 
     def __init__(self) -> None:
-        self._known: dict[str, Known] = {}
+        self._records: dict[str, Known] = {}
         self._by_address: dict[tuple[str, int], str] = {}
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._records)
 
     def __contains__(self, endpoint_id: str) -> bool:
-        return endpoint_id in self._known
+        return endpoint_id in self._records
 
     def get(self, endpoint_id: str) -> Announcement | None:
         """Return the newest announcement of an endpoint."""
-        known = self._known.get(endpoint_id)
+        known = self._records.get(endpoint_id)
         return None if known is None else known.announcement
 
-    def known(self, endpoint_id: str) -> Known | None:
-        """Return the newest announcement of an endpoint and its instants."""
-        return self._known.get(endpoint_id)
+    def get_record(self, endpoint_id: str) -> Known | None:
+        """Return the newest announcement of an endpoint and its receive times."""
+        return self._records.get(endpoint_id)
 
     def merge(self, announcement: Announcement, now: Instant) -> bool:
-        """Take an announcement; return whether it says anything new.
+        """Merge an announcement; return whether it contains an update.
 
-        A repeated or an older one changes nothing. Of two endpoints with one address
-        the one that started later holds it: an announcement of the earlier one was
-        delayed on its way.
+        A repeated or older announcement changes nothing. If two endpoints announce
+        the same address, the one that started later keeps it, since the announcement
+        of the earlier one must have been delayed.
         """
         endpoint_id = announcement.endpoint_id
-        known = self._known.get(endpoint_id)
+        known = self._records.get(endpoint_id)
         if known is not None and announcement.order <= known.announcement.order:
             if announcement.order == known.announcement.order:
                 known.heard_at = now
             return False
         address = (announcement.host, announcement.port)
-        holder = self.get(self._by_address.get(address, ""))
-        if holder is not None and holder.endpoint_id != endpoint_id:
-            if holder.born_ms > announcement.born_ms:
+        current_owner = self.get(self._by_address.get(address, ""))
+        if current_owner is not None and current_owner.endpoint_id != endpoint_id:
+            if current_owner.born_ms > announcement.born_ms:
                 return False
-            self.remove(holder.endpoint_id)
+            self.remove(current_owner.endpoint_id)
         if known is not None:
             self.remove(endpoint_id)
-        self._known[endpoint_id] = Known(announcement, now, now)
+        self._records[endpoint_id] = Known(announcement, now, now)
         self._by_address[address] = endpoint_id
-        return known is None or _differs(known.announcement, announcement)
+        return known is None or _has_update(known.announcement, announcement)
 
     def hear(self, endpoint_id: str, now: Instant) -> None:
-        """Note that an endpoint announced itself again, with nothing new."""
-        known = self._known.get(endpoint_id)
+        """Record that an endpoint repeated its newest announcement."""
+        known = self._records.get(endpoint_id)
         if known is not None:
             known.heard_at = now
 
     def remove(self, endpoint_id: str) -> None:
-        """Forget an endpoint."""
-        known = self._known.pop(endpoint_id, None)
+        """Remove an endpoint."""
+        known = self._records.pop(endpoint_id, None)
         if known is None:
             return
         address = (known.announcement.host, known.announcement.port)
         if self._by_address.get(address) == endpoint_id:
             del self._by_address[address]
 
-    def expire(self, heard_before: Instant) -> list[str]:
-        """Forget the endpoints that were silent since an instant; return their ids."""
-        silent = [k for k, v in self._known.items() if v.heard_at < heard_before]
-        for endpoint_id in silent:
+    def expire(self, received_before: Instant) -> list[str]:
+        """Remove endpoints with no announcement since an instant; return their ids."""
+        expired = [k for k, v in self._records.items() if v.heard_at < received_before]
+        for endpoint_id in expired:
             self.remove(endpoint_id)
-        return silent
+        return expired
 
     def all_known(self) -> Iterable[Known]:
-        """Return the newest announcement of each endpoint and its instants."""
-        return self._known.values()
+        """Return the newest announcement of each endpoint and its receive times."""
+        return self._records.values()
 
     def announcements(self) -> Iterable[Announcement]:
         """Return the newest announcement of each endpoint."""
-        return [known.announcement for known in self._known.values()]
+        return [known.announcement for known in self._records.values()]
 
 
-def _differs(before: Announcement, after: Announcement) -> bool:
-    """Return whether more changed than the sequence and the time to warm up."""
+def _has_update(before: Announcement, after: Announcement) -> bool:
+    """Return whether more changed than the sequence and a shorter warm-up time."""
     return (
         before.born_ms != after.born_ms
         or before.service != after.service
@@ -184,10 +190,10 @@
     )
 
 
-def may_get_work(announcement: Announcement, orders: Orders) -> bool:
+def may_get_work(announcement: Announcement, state: Orders) -> bool:
     """Return whether new requests may go to an endpoint, cold or warm."""
     return (
         not announcement.is_leaving
-        and announcement.zone not in orders.evacuated
-        and not orders.has_departed(announcement.endpoint_id, announcement.born_ms)
+        and announcement.zone not in state.evacuated
+        and not state.has_departed(announcement.endpoint_id, announcement.born_ms)
     )
--- a/pollenfold/core/warming.py
+++ b/pollenfold/core/warming.py
@@ -1,8 +1,8 @@
-"""Warm-up of cold endpoints: one owner, a ramp, and the detection of coldness.
+"""Warm-up of cold endpoints: ownership, concurrency ramp, and cold detection.
 
-While an endpoint is cold only its warm-up owner sends to it. The owner is the same
-on every entry with the same directory, and a new owner waits until the previous one
-must have stopped.
+While an endpoint is cold, only its warm-up owner sends requests to it. All entries
+with the same directory agree on the owner, and a new owner waits until the previous
+one must have stopped.
 """
 
 from __future__ import annotations
@@ -20,36 +20,37 @@
 from .records import ServiceSpec
 
 SUCCESSES_PER_SLOT = 4
-"""Successful responses for each slot of the present limit before the next slot."""
+"""Successful responses per slot of the current limit before the limit is raised."""
 
 N_HIGH_LATENCIES = 5
-"""Consecutive responses far above the baseline that count as a sudden rise. Five in
-a row at the 99th percentile are a matter of chance a few times a day at the largest
-size; three would be one every few seconds."""
+"""Consecutive responses far above the baseline that count as a sudden rise. At the
+largest size, five in a row at the 99th percentile occur by chance a few times a day;
+three in a row would occur every few seconds."""
 
 N_SHEDS = 3
-"""Consecutive refusals by a warm endpoint that count as a sign of coldness."""
+"""Consecutive refusals by a warm endpoint that indicate that it is cold."""
 
 MIN_BASELINE_SAMPLES = 20
 
 RISE_FACTOR = 3.0
 RISE_MS = 2.0
-"""A rise is above ``RISE_FACTOR`` times the baseline plus ``RISE_MS``; the constant
-part keeps scheduling noise of sub-millisecond servers out."""
+"""A latency is high if it exceeds ``RISE_FACTOR`` times the baseline plus ``RISE_MS``;
+the constant filters out scheduling noise of servers with sub-millisecond latency."""
 
 BASELINE_WEIGHT = 0.02
 
 MAX_SUSPECT_SHARE = 1 / 3
-"""Share of a service's endpoints that latency and shedding may show as cold at once.
-More of them at the same time mean that the service is overloaded; taking endpoints
-out then would make it worse."""
+"""Share of a service's endpoints that may be detected as cold by latency or shedding
+at the same time. A larger share means that the service is overloaded, and removing
+capacity would make that worse."""
 
-SUSPECT_MS = 1000.0
+SUSPICION_WINDOW_MS = 1000.0
 
 WARM_SHARE_FACTOR = 2.0
 MIN_WARM_SHARE = 2
-"""An entry may use twice its part of a warm endpoint's slots, and two at least. The
-platform's load balancer spreads connections, not requests, over the entries."""
+"""An entry may use twice its share of a warm endpoint's slots, and at least two,
+because the platform's load balancer distributes connections, not requests, over the
+entries."""
 
 
 class WarmReason(Enum):
@@ -63,41 +64,41 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmChange:
-    """An endpoint with a new warm state, to merge into the table and to push."""
+    """An endpoint with a new warm state, to merge into the table and push to peers."""
 
     endpoint: Endpoint
     reason: WarmReason
 
 
 class LatencyBaseline:
-    """The slowly moving mean of latencies, and the run of values far above it."""
+    """A moving average of latencies, and the number of successive high latencies."""
 
-    __slots__ = ("mean_ms", "n_samples", "n_high")
+    __slots__ = ("mean_ms", "n_samples", "n_high_latencies")
 
     def __init__(self) -> None:
         self.mean_ms = 0.0
         self.n_samples = 0
-        self.n_high = 0
+        self.n_high_latencies = 0
 
     def add(self, latency_ms: float) -> bool:
-        """Take one latency; return whether it ends a sudden rise."""
+        """Add a latency; return whether a sudden rise has been detected."""
         self.n_samples += 1
         is_learning = self.n_samples <= MIN_BASELINE_SAMPLES
         if not is_learning and latency_ms > RISE_FACTOR * self.mean_ms + RISE_MS:
-            self.n_high += 1
+            self.n_high_latencies += 1
         else:
-            self.n_high = 0
+            self.n_high_latencies = 0
         weight = 1 / self.n_samples if is_learning else BASELINE_WEIGHT
         self.mean_ms += weight * (latency_ms - self.mean_ms)
-        return self.n_high >= N_HIGH_LATENCIES
+        return self.n_high_latencies >= N_HIGH_LATENCIES
 
 
 def _is_same_warm_up(left: Endpoint, right: Endpoint) -> bool:
     return left.incarnation == right.incarnation and left.warm == right.warm
 
 
-class _State:
-    """What one entry knows about the warm-up of one endpoint."""
+class _EndpointState:
+    """The warm-up state of one endpoint on this entry."""
 
     __slots__ = (
         "endpoint",
@@ -111,7 +112,7 @@
         "n_successes",
         "n_sheds",
         "baseline",
-        "suspect_at",
+        "suspected_at",
     )
 
     def __init__(self, endpoint: Endpoint, spec: ServiceSpec) -> None:
@@ -122,7 +123,7 @@
         self.ownership = Ownership()
         self.limit = 0
         self.ready_at = 0.0
-        self.suspect_at = float("-inf")
+        self.suspected_at = float("-inf")
         self.start_ramp()
 
     @property
@@ -132,31 +133,31 @@
 
     @property
     def is_detected_cold(self) -> bool:
-        """Whether an entry saw the endpoint turn cold after it had been warm."""
+        """Whether an entry detected that the endpoint became cold after being warm."""
         warm = self.endpoint.warm
-        is_explicit = not warm.is_warm and warm.epoch > 0
-        return is_explicit and warm.zone_version >= self.zone_version
+        is_marked_cold = not warm.is_warm and warm.epoch > 0
+        return is_marked_cold and warm.zone_version >= self.zone_version
 
     @property
     def slots(self) -> int:
         return max(1, min(self.endpoint.slots, self.spec.slots_per_endpoint))
 
     def start_ramp(self) -> None:
-        self.ramp_limit = self._first_limit()
+        self.ramp_limit = self._initial_limit()
         self.n_successes = 0
         self.n_sheds = 0
         self.baseline = LatencyBaseline()
 
-    def step_back(self) -> None:
-        """Halve the ramp, but never below its start."""
-        self.ramp_limit = max(self._first_limit(), self.ramp_limit // 2)
+    def halve_ramp(self) -> None:
+        """Halve the ramp limit, but not below its initial value."""
+        self.ramp_limit = max(self._initial_limit(), self.ramp_limit // 2)
         self.n_successes = 0
         self.baseline = LatencyBaseline()
 
-    def _first_limit(self) -> int:
+    def _initial_limit(self) -> int:
         return max(1, min(self.spec.cold_slots, self.slots))
 
-    def changed(self, is_warm: bool) -> Endpoint:
+    def with_warm(self, is_warm: bool) -> Endpoint:
         warm = self.endpoint.warm
         zone_version = max(self.zone_version, warm.zone_version)
         return replace(
@@ -167,15 +168,16 @@
 class WarmupController:
     """Limits what this entry sends to each endpoint while it is cold.
 
-    ``limit`` gives the concurrency that the entry may have at an endpoint, and
-    ``record`` takes the result of each request. ``observe`` should be called with
-    every new directory, so that none is missed between two calls of ``limit``.
+    ``limit`` returns how many concurrent requests the entry may send to an endpoint,
+    and ``record`` must be called with the result of each request. ``observe`` should
+    be called with every new directory, so that none is missed between two calls of
+    ``limit``.
     """
 
     def __init__(self, entry_id: str, lease_ms: float) -> None:
         self._lease_ms = lease_ms
-        self._services: dict[str, dict[EndpointKey, _State]] = {}
-        self._by_id: dict[int, _State] = {}
+        self._services: dict[str, dict[EndpointKey, _EndpointState]] = {}
+        self._by_id: dict[int, _EndpointState] = {}
         self._history = DirectoryHistory(entry_id)
 
     def limit(
@@ -186,9 +188,9 @@
         directory: Directory,
         now: Instant,
     ) -> int:
-        """Return the concurrency that this entry may have at the endpoint.
+        """Return how many concurrent requests this entry may send to the endpoint.
 
-        ``zone_version`` is the version of the zone's record when it last came in.
+        ``zone_version`` is the record version at which the zone last entered service.
         """
         state = self._by_id.get(id(endpoint))
         if (
@@ -210,10 +212,10 @@
         reported_cold: bool,
         now: Instant,
     ) -> WarmChange | None:
-        """Take the result of one request.
+        """Record the result of one request; return a change of the warm state, if any.
 
-        ``endpoint`` is the object that the request was sent with. A result from
-        before the present incarnation or warm state is ignored. A request that
+        ``endpoint`` is the object with which the request was sent. A result from
+        before the current incarnation or warm state is ignored. A request that
         failed or timed out counts as shed. The entry merges a returned change into
         its table and pushes it to its peers.
         """
@@ -224,16 +226,16 @@
                 return None
         if state.is_warm:
             return self._record_warm(state, latency_ms, was_shed, reported_cold, now)
-        if state.ownership.since is None:
+        if state.ownership.owned_since is None:
             return None
         return self._record_ramp(state, latency_ms, was_shed, reported_cold)
 
     def observe(self, directory: Directory) -> None:
-        """Take a new directory into the history of ownership."""
+        """Add a new directory to the ownership history."""
         self._history.observe(directory)
 
     def retain(self, service: str, keys: Container[EndpointKey]) -> None:
-        """Forget the endpoints of a service that are not among ``keys``."""
+        """Remove the state of a service's endpoints that are not in ``keys``."""
         states = self._services.get(service, {})
         for key in [key for key in states if key not in keys]:
             self._by_id.pop(id(states.pop(key).endpoint), None)
@@ -244,16 +246,16 @@
         spec: ServiceSpec,
         zone_version: int,
         directory: Directory,
-    ) -> _State:
+    ) -> _EndpointState:
         states = self._services.setdefault(endpoint.service, {})
         key = endpoint.key
         state = states.get(key)
         if state is None:
-            state = states[key] = _State(endpoint, spec)
+            state = states[key] = _EndpointState(endpoint, spec)
         before = state.endpoint
         if (
             endpoint.incarnation == before.incarnation
-            and endpoint.warm.order() < before.warm.order()
+            and endpoint.warm.merge_key() < before.warm.merge_key()
         ):
             # The table has not merged a change of ``record`` yet.
             endpoint = before
@@ -271,11 +273,11 @@
             if self._history.update(state.ownership, key) and not state.is_warm:
                 state.start_ramp()
         self._by_id[id(endpoint)] = state
-        self._apply(state)
+        self._update_limit(state)
         return state
 
-    def _apply(self, state: _State) -> None:
-        """Set the limit that ``limit`` returns until something changes."""
+    def _update_limit(self, state: _EndpointState) -> None:
+        """Compute the limit that ``limit`` returns until the state changes."""
         state.ready_at = float("-inf")
         if state.endpoint.is_leaving:
             state.limit = 0
@@ -283,38 +285,42 @@
             n_entries = len(state.directory.entry_ids) if state.directory else 1
             share = ceil(WARM_SHARE_FACTOR * state.slots / max(1, n_entries))
             state.limit = min(state.slots, max(MIN_WARM_SHARE, share))
-        elif state.ownership.since is None:
+        elif state.ownership.owned_since is None:
             state.limit = 0
         else:
             state.limit = min(state.ramp_limit, state.slots)
             wait_ms = self._lease_ms + state.spec.timeout_ms
-            state.ready_at = state.ownership.since + wait_ms
+            state.ready_at = state.ownership.owned_since + wait_ms
 
     def _record_ramp(
-        self, state: _State, latency_ms: float, was_shed: bool, reported_cold: bool
+        self,
+        state: _EndpointState,
+        latency_ms: float,
+        was_shed: bool,
+        reported_cold: bool,
     ) -> WarmChange | None:
         if was_shed or state.baseline.add(latency_ms):
-            state.step_back()
+            state.halve_ramp()
         elif not reported_cold:
             state.n_successes += 1
             if state.n_successes >= SUCCESSES_PER_SLOT * state.ramp_limit:
                 state.n_successes = 0
                 if state.ramp_limit >= state.slots:
-                    return self._change(state, True, WarmReason.RAMP_DONE)
+                    return self._set_warm(state, True, WarmReason.RAMP_DONE)
                 state.ramp_limit += 1
-        self._apply(state)
+        self._update_limit(state)
         return None
 
     def _record_warm(
         self,
-        state: _State,
+        state: _EndpointState,
         latency_ms: float,
         was_shed: bool,
         reported_cold: bool,
         now: Instant,
     ) -> WarmChange | None:
         if reported_cold:
-            return self._change(state, False, WarmReason.REPORTED)
+            return self._set_warm(state, False, WarmReason.REPORTED)
         if was_shed:
             state.n_sheds += 1
             if state.n_sheds < N_SHEDS:
@@ -325,27 +331,29 @@
             state.n_sheds = 0
             if not state.baseline.add(latency_ms):
                 return None
-            state.baseline.n_high = 0
+            state.baseline.n_high_latencies = 0
             reason = WarmReason.LATENCY
-        state.suspect_at = now
-        if self._is_widespread(state, now):
+        state.suspected_at = now
+        if self._is_overload_suspected(state, now):
             return None
-        return self._change(state, False, reason)
+        return self._set_warm(state, False, reason)
 
-    def _is_widespread(self, state: _State, now: Instant) -> bool:
+    def _is_overload_suspected(self, state: _EndpointState, now: Instant) -> bool:
         states = self._services[state.endpoint.service].values()
         n_suspects = sum(
-            other.is_detected_cold or now - other.suspect_at <= SUSPECT_MS
+            other.is_detected_cold or now - other.suspected_at <= SUSPICION_WINDOW_MS
             for other in states
         )
         return n_suspects > max(1, int(MAX_SUSPECT_SHARE * len(states)))
 
-    def _change(self, state: _State, is_warm: bool, reason: WarmReason) -> WarmChange:
-        """Put the new state into force here before the table has merged it."""
-        endpoint = state.changed(is_warm)
+    def _set_warm(
+        self, state: _EndpointState, is_warm: bool, reason: WarmReason
+    ) -> WarmChange:
+        """Apply the new warm state locally before the table has merged it."""
+        endpoint = state.with_warm(is_warm)
         self._by_id.pop(id(state.endpoint), None)
         state.endpoint = endpoint
         state.start_ramp()
         self._by_id[id(endpoint)] = state
-        self._apply(state)
+        self._update_limit(state)
         return WarmChange(endpoint, reason)
