--- a/pollenfold/core/__init__.py
+++ b/pollenfold/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions without I/O: pure functions of state, event and time."""
+"""The decision logic without I/O: pure functions of state, event and time."""
--- a/pollenfold/core/agreement.py
+++ b/pollenfold/core/agreement.py
@@ -1,8 +1,8 @@
-"""The replicated log: Raft as a function of state, event and time.
+"""The replicated log: Raft as a pure function of state, event and time.
 
-``step`` returns the next state and the actions to perform in their order. A persist
-action must be durable before the actions after it are performed; when it fails, the
-state must be dropped and the replica started again from what is stored.
+``step`` returns the next state and the actions to perform, in this order. A persist
+action must be durable before the actions after it are performed; if it fails, the
+state must be discarded and the replica restarted from what is stored.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from .agreement_election import on_vote_request, on_vote_response, start_pre_vote
 from .agreement_log import Entry, Log, Snapshot
-from .agreement_members import add_learner, with_members
+from .agreement_members import add_learner, with_voters_from_log
 from .agreement_messages import (
     Action,
     AppendRequest,
@@ -31,14 +31,14 @@
     VoteRequest,
     VoteResponse,
 )
-from .agreement_rejoin import on_inquiry, on_inquiry_response, start_round
+from .agreement_rejoin import on_inquiry, on_inquiry_response, start_inquiry_round
 from .agreement_replication import (
     broadcast,
-    observe_incarnation,
-    on_append,
-    on_response,
-    on_snapshot,
+    on_append_request,
+    on_follower_response,
+    on_snapshot_request,
     propose,
+    record_incarnation,
 )
 from .agreement_state import (
     ELECTION_TIMEOUT_MAX_MS,
@@ -50,7 +50,7 @@
     Step,
     become_follower,
     is_leader,
-    majority_answered_at,
+    majority_contact_at,
 )
 from .clock import Instant, add_ms
 
@@ -80,21 +80,24 @@
     timeout_ms: float,
     is_dynamic: bool = False,
 ) -> State:
-    """Return the state of a replica that starts with what it has stored.
+    """Return the state of a replica that starts from its stored state and log.
 
     With ``is_dynamic`` the log names the voters, ``replica_ids`` holds just the
     replica itself, and it is never blank: a new disk has a new id.
     """
     if replica_id not in replica_ids:
-        raise ValueError(f"expected one of {sorted(replica_ids)}, got {replica_id}")
-    # Where votes decide alone and not the time since a leader was heard, a restarted
-    # replica may vote at once; that shortens the recovery when all restart together.
-    heard_at = add_ms(now, -ELECTION_TIMEOUT_MIN_MS) if is_dynamic else now
+        raise ValueError(
+            f"expected a replica id of {sorted(replica_ids)}, got {replica_id}"
+        )
+    # With dynamic members votes alone decide, not the time since the last contact
+    # with a leader, so a restarted replica may vote immediately. That shortens the
+    # recovery when all replicas restart together.
+    leader_contact_at = add_ms(now, -ELECTION_TIMEOUT_MIN_MS) if is_dynamic else now
     state = State(
         replica_id,
         tuple(sorted(replica_ids - {replica_id})),
         incarnation,
-        heard_at=heard_at,
+        heard_at=leader_contact_at,
         wake_at=now if is_blank else add_ms(now, timeout_ms),
         rejoin=Rejoin(now),
         is_blank=is_blank,
@@ -102,7 +105,7 @@
         commit_index=log.snapshot.index,
         is_dynamic=is_dynamic,
     )
-    state = with_members(state, now)
+    state = with_voters_from_log(state, now)
     if stored is None:
         return state
     return replace(
@@ -117,9 +120,9 @@
 def step(state: State, event: Event, now: Instant, timeout_ms: float) -> Step:
     """Return the state after the event and the actions to perform.
 
-    ``timeout_ms`` is a fresh random election timeout between
-    ``ELECTION_TIMEOUT_MIN_MS`` and ``ELECTION_TIMEOUT_MAX_MS``; it is used when the
-    event starts one.
+    ``timeout_ms`` is a new random election timeout between
+    ``ELECTION_TIMEOUT_MIN_MS`` and ``ELECTION_TIMEOUT_MAX_MS``; it is used if the
+    event starts an election timer.
     """
     match event:
         case Receive(message):
@@ -138,10 +141,10 @@
     if now < state.wake_at:
         return state, []
     if state.is_blank:
-        return start_round(state, now, timeout_ms)
+        return start_inquiry_round(state, now, timeout_ms)
     if state.role is not Role.LEADER:
         return start_pre_vote(state, now, timeout_ms)
-    if now >= add_ms(majority_answered_at(state, now), ELECTION_TIMEOUT_MAX_MS):
+    if now >= add_ms(majority_contact_at(state, now), ELECTION_TIMEOUT_MAX_MS):
         return become_follower(state, state.term, None, add_ms(now, timeout_ms))
     return broadcast(state, now)
 
@@ -170,14 +173,14 @@
         case VoteResponse() as body:
             return on_vote_response(state, message, body, now, timeout_ms)
         case AppendRequest() as body:
-            return on_append(state, message, body, now, timeout_ms)
+            return on_append_request(state, message, body, now, timeout_ms)
         case SnapshotRequest() as body:
-            return on_snapshot(state, message, body, now, timeout_ms)
+            return on_snapshot_request(state, message, body, now, timeout_ms)
         case AppendResponse() | SnapshotResponse() as body:
-            return on_response(state, message, body, now, timeout_ms)
+            return on_follower_response(state, message, body, now, timeout_ms)
         case Inquiry() as body:
             if state.role is Role.LEADER:
-                state = observe_incarnation(state, message, True, now)
+                state = record_incarnation(state, message, True, now)
             return on_inquiry(state, message, body)
         case InquiryResponse() as body:
             return on_inquiry_response(state, message, body, now, timeout_ms)
--- a/pollenfold/core/agreement_election.py
+++ b/pollenfold/core/agreement_election.py
@@ -1,4 +1,4 @@
-"""Pre-votes, votes and the start of a leader's term."""
+"""Leader election: pre-votes, votes and the start of a leader's term."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     State,
     Step,
     become_follower,
-    majority_answered_at,
+    majority_contact_at,
 )
 from .clock import Instant, add_ms
 
 
 def start_pre_vote(state: State, now: Instant, timeout_ms: float) -> Step:
-    """Ask whether a majority would vote, without raising the term.
+    """Request pre-votes: whether a majority would vote, without raising the term.
 
     An isolated replica repeats this and keeps its term, so the others need no new
-    election when it returns.
+    election when it reconnects.
     """
     if not state.is_voter(state.replica_id):
         return replace(state, leader_id=None, wake_at=add_ms(now, timeout_ms)), []
@@ -41,11 +41,11 @@
         wake_at=add_ms(now, timeout_ms),
     )
     if len(state.votes) >= state.n_majority:
-        return _start_vote(state, now, timeout_ms)
+        return _start_election(state, now, timeout_ms)
     return state, _request_votes(state, state.term + 1, is_pre_vote=True)
 
 
-def _start_vote(state: State, now: Instant, timeout_ms: float) -> Step:
+def _start_election(state: State, now: Instant, timeout_ms: float) -> Step:
     state = replace(
         state,
         role=Role.CANDIDATE,
@@ -56,8 +56,8 @@
     )
     actions: list[Action] = [state.persist()]
     if len(state.votes) >= state.n_majority:
-        state, more = _become_leader(state, now)
-        return state, actions + more
+        state, leader_actions = _become_leader(state, now)
+        return state, actions + leader_actions
     return state, actions + _request_votes(state, state.term, is_pre_vote=False)
 
 
@@ -88,25 +88,25 @@
 def on_vote_request(
     state: State, message: Message, request: VoteRequest, now: Instant, wake_at: Instant
 ) -> Step:
-    """Answer a request for a vote or a pre-vote.
+    """Respond to a request for a vote or a pre-vote.
 
-    While a leader was heard within the shortest election timeout the request has no
-    effect, not even on the term; a leader relies on this for ``is_leader``.
+    If a message from a leader was received within the shortest election timeout, the
+    request has no effect, not even on the term; ``is_leader`` relies on this.
     """
     if state.is_blank or _has_recent_leader(state, now):
         return state, [_vote_response(state, message, request, False)]
-    is_current = (request.last_term, request.last_index) >= (
+    is_log_up_to_date = (request.last_term, request.last_index) >= (
         state.log.last_term,
         state.log.last_index,
     )
     if request.is_pre_vote:
-        is_granted = is_current and request.term > state.term
+        is_granted = is_log_up_to_date and request.term > state.term
         return state, [_vote_response(state, message, request, is_granted)]
     actions: list[Action] = []
     if request.term > state.term:
         state, actions = become_follower(state, request.term, None, state.wake_at)
     is_granted = (
-        is_current
+        is_log_up_to_date
         and request.term == state.term > state.vote_floor
         and state.vote in (None, message.sender)
     )
@@ -127,10 +127,10 @@
 
 
 def _has_recent_leader(state: State, now: Instant) -> bool:
-    heard_at = state.heard_at
+    contact_at = state.heard_at
     if state.role is Role.LEADER:
-        heard_at = majority_answered_at(state, now)
-    return now < add_ms(heard_at, ELECTION_TIMEOUT_MIN_MS)
+        contact_at = majority_contact_at(state, now)
+    return now < add_ms(contact_at, ELECTION_TIMEOUT_MIN_MS)
 
 
 def on_vote_response(
@@ -140,10 +140,10 @@
     now: Instant,
     timeout_ms: float,
 ) -> Step:
-    """Count a vote, and move on with a majority.
+    """Count a vote; with a majority, start the election or become leader.
 
-    A vote after the end of the candidacy doesn't count: the voter may have lost its
-    disk since, and ``agreement_rejoin`` relies on such votes being void.
+    A vote that arrives after the end of the candidacy doesn't count: the voter may
+    have lost its disk since, and ``agreement_rejoin`` relies on such votes being void.
     """
     if response.term > state.term and not response.is_granted:
         return become_follower(state, response.term, None, add_ms(now, timeout_ms))
@@ -163,5 +163,5 @@
     if len(state.votes) < state.n_majority:
         return state, []
     if response.is_pre_vote:
-        return _start_vote(state, now, timeout_ms)
+        return _start_election(state, now, timeout_ms)
     return _become_leader(state, now)
--- a/pollenfold/core/agreement_log.py
+++ b/pollenfold/core/agreement_log.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass
 
 ENTRY_OVERHEAD_BYTES = 64
-"""Bounds what the encoding of an entry adds to its command."""
+"""An upper bound of the bytes that the encoding of an entry adds to its command."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One command at its place in the log.
+    """One command at its index in the log.
 
-    An empty command is the entry that a new leader adds to commit in its own term;
+    A new leader appends an entry with an empty command, to commit in its own term;
     it isn't passed to the state machine.
     """
 
@@ -65,7 +65,7 @@
         return self.entries[max(0, first_index - base) : max(0, last_index + 1 - base)]
 
     def batch(self, first_index: int, limit_bytes: int) -> tuple[Entry, ...]:
-        """Return entries from an index on; at least one, then up to the limit."""
+        """Return the entries from an index on, up to the limit but at least one."""
         n_bytes = 0
         batch: list[Entry] = []
         for entry in self.between(first_index, self.last_index):
@@ -76,16 +76,16 @@
         return tuple(batch)
 
     def with_entries(self, entries: tuple[Entry, ...]) -> Log:
-        """Return the log with the entries in place of all from their first index."""
+        """Return the log with the entries replacing all from their first index on."""
         if not entries:
             return self
         kept = self.between(self.snapshot.index + 1, entries[0].index - 1)
         return Log(self.snapshot, kept + entries)
 
     def with_snapshot(self, snapshot: Snapshot) -> Log:
-        """Return the log after a snapshot took the place of its beginning.
+        """Return the log with a snapshot replacing the entries up to its index.
 
-        Entries after the snapshot stay only when this log holds the snapshot's last
+        Entries after the snapshot are kept only if this log holds the snapshot's last
         entry with the same term; otherwise they may conflict with it.
         """
         if self.term_at(snapshot.index) != snapshot.term:
@@ -93,10 +93,10 @@
         return Log(snapshot, self.between(snapshot.index + 1, self.last_index))
 
     def new_entries(self, entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
-        """Return the part of the entries that this log doesn't hold.
+        """Return the entries from the first one that this log doesn't hold.
 
-        Entries that the log holds are left alone: an old message must not remove
-        entries that came after it.
+        Entries that the log already holds are skipped: a delayed message must not
+        remove entries that were appended after it.
         """
         for position, entry in enumerate(entries):
             if entry.index <= self.snapshot.index:
--- a/pollenfold/core/agreement_messages.py
+++ b/pollenfold/core/agreement_messages.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteRequest:
-    """Asks for a vote, or with ``is_pre_vote`` whether a vote would be given."""
+    """Requests a vote, or with ``is_pre_vote`` whether a vote would be granted."""
 
     term: int
     is_pre_vote: bool
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteResponse:
-    """Answers the vote request that ``to_incarnation`` sent for ``for_term``."""
+    """The response to a vote request of ``to_incarnation`` for ``for_term``."""
 
     term: int
     to_incarnation: str
@@ -49,10 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendResponse:
-    """Says up to which index the log agrees with the leader's.
+    """Reports up to which index the follower's log matches the leader's.
 
-    After a failure ``match_index`` is where the leader should continue. ``sent_at``
-    is the leader's own instant from the request.
+    After a failure the leader should continue after ``match_index``. ``sent_at`` is
+    copied from the request and is a time of the leader's clock.
     """
 
     term: int
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRequest:
-    """One part of a snapshot, from the byte ``offset_bytes`` on."""
+    """One chunk of a snapshot, from the byte ``offset_bytes`` on."""
 
     term: int
     index: int
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotResponse:
-    """Says how many bytes of the snapshot the follower holds."""
+    """Reports how many bytes of the snapshot the follower holds."""
 
     term: int
     index: int
@@ -90,14 +90,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Inquiry:
-    """A blank replica asks for the term of another one."""
+    """Requests the term of another replica, on behalf of a blank one."""
 
     round: int
 
 
 @dataclass(frozen=True, slots=True)
 class InquiryResponse:
-    """Answers one round of inquiries of the incarnation ``to_incarnation``.
+    """The response to an inquiry in one round of the incarnation ``to_incarnation``.
 
     ``founders`` names the replicas and incarnations that were all blank at the same
     time when the cluster was founded.
@@ -139,14 +139,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """A command for the log; only a leader takes it."""
+    """A command to append to the log; only a leader accepts it."""
 
     command: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Compact:
-    """The state machine after the applied entry ``index`` is ``data``."""
+    """A snapshot of the state machine after the applied entry ``index``."""
 
     index: int
     data: bytes
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Join:
-    """A replica that isn't a member asks the leader for the log."""
+    """A replica that isn't a member requests the log from the leader."""
 
     replica_id: str
 
@@ -164,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistState:
-    """Store term and vote before the actions that follow."""
+    """Store the term and vote before the actions that follow."""
 
     term: int
     vote: str | None
@@ -174,7 +174,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistEntries:
-    """Store the entries in place of all from the first one's index on."""
+    """Store the entries, replacing all from the index of the first one on."""
 
     entries: tuple[Entry, ...]
 
--- a/pollenfold/core/agreement_rejoin.py
+++ b/pollenfold/core/agreement_rejoin.py
@@ -1,9 +1,9 @@
-"""The blank replica rule: no vote after a lost disk until caught up.
+"""Rejoin of a replica that lost its disk: it doesn't vote until it has caught up.
 
-A blank replica inquires of all others once per heartbeat. When all of them are blank
-at one instant, the cluster is new. Otherwise it needs the terms of enough others
-that every quorum of its earlier incarnation includes one of them, and then the whole
-log of a leader of at least the largest of these terms.
+A blank replica sends an inquiry to all others once per heartbeat interval. If all of
+them are blank at the same instant, the cluster is new. Otherwise it needs the terms of
+enough others that every quorum of its earlier incarnation includes one of them, and
+then the complete log of a leader whose term is at least the largest of these terms.
 """
 
 from __future__ import annotations
@@ -28,33 +28,33 @@
 from .clock import Instant, add_ms
 
 BLANK_WAIT_MS = 1.25 * ELECTION_TIMEOUT_MAX_MS
-"""Terms count from this time after the start on.
+"""Terms reported in rounds that start earlier than this after the start are ignored.
 
-A vote of the earlier incarnation may still be counted by a candidate while another
-voter reports its old term and votes afterwards. After the longest election timeout,
-with a margin for the rate of clocks, that candidacy has ended.
+A candidate may still count a vote of the earlier incarnation while another voter
+reports its old term and votes afterwards. That candidacy has ended after the longest
+election timeout; the factor is a margin for the drift of clocks.
 """
 
 
-def start_round(state: State, now: Instant, timeout_ms: float) -> Step:
-    """Inquire of all other replicas, or found a cluster of one."""
+def start_inquiry_round(state: State, now: Instant, timeout_ms: float) -> Step:
+    """Send an inquiry to all other replicas, or found a cluster of one."""
     rejoin = state.rejoin
     if not state.peers:
-        return _found(state, now, timeout_ms, ())
-    is_all_blank = len(rejoin.blank) == len(state.peers)
+        return _found_cluster(state, now, timeout_ms, ())
+    is_all_blank = len(rejoin.blank_peers) == len(state.peers)
     rejoin = replace(
         rejoin,
         round=rejoin.round + 1,
         round_started_at=now,
-        confirmed=rejoin.blank if is_all_blank else {},
-        blank={},
+        previous_blank_peers=rejoin.blank_peers if is_all_blank else {},
+        blank_peers={},
     )
     state = replace(state, rejoin=rejoin, wake_at=add_ms(now, HEARTBEAT_MS))
     return state, [state.send(peer, Inquiry(rejoin.round)) for peer in state.peers]
 
 
 def on_inquiry(state: State, message: Message, inquiry: Inquiry) -> Step:
-    """Report the own term to a blank replica."""
+    """Report this replica's term to a blank replica."""
     body = InquiryResponse(
         inquiry.round, message.incarnation, state.is_blank, state.term, state.founders
     )
@@ -68,11 +68,11 @@
     now: Instant,
     timeout_ms: float,
 ) -> Step:
-    """Record one answer; found the cluster when that is certain.
+    """Record one response; found the cluster once all replicas are known to be blank.
 
-    One round can collect answers of replicas that were blank at different times.
-    When all answers of two rounds in a row are alike, all replicas were blank at the
-    instant between the rounds.
+    One round can collect responses of replicas that were blank at different times.
+    If two consecutive rounds get the same responses, all blank, then all replicas
+    were blank at the instant between the rounds.
     """
     rejoin = state.rejoin
     if not state.is_blank or response.to_incarnation != state.incarnation:
@@ -80,21 +80,24 @@
     if response.round != rejoin.round:
         return state, []
     if (state.replica_id, state.incarnation) in response.founders:
-        return _found(state, now, timeout_ms, response.founders)
+        return _found_cluster(state, now, timeout_ms, response.founders)
     terms = {k: v for k, v in rejoin.terms.items() if k != message.sender}
     if response.is_blank:
-        blank = {**rejoin.blank, message.sender: message.incarnation}
-        rejoin = replace(rejoin, blank=blank)
+        blank_peers = {**rejoin.blank_peers, message.sender: message.incarnation}
+        rejoin = replace(rejoin, blank_peers=blank_peers)
     elif rejoin.round_started_at >= add_ms(rejoin.started_at, BLANK_WAIT_MS):
         terms[message.sender] = response.term
     state = replace(state, rejoin=replace(rejoin, terms=terms))
-    if len(rejoin.blank) < len(state.peers) or rejoin.blank != rejoin.confirmed:
+    if (
+        len(rejoin.blank_peers) < len(state.peers)
+        or rejoin.blank_peers != rejoin.previous_blank_peers
+    ):
         return state, []
-    founders = {**rejoin.blank, state.replica_id: state.incarnation}
-    return _found(state, now, timeout_ms, tuple(sorted(founders.items())))
+    founders = {**rejoin.blank_peers, state.replica_id: state.incarnation}
+    return _found_cluster(state, now, timeout_ms, tuple(sorted(founders.items())))
 
 
-def _found(
+def _found_cluster(
     state: State,
     now: Instant,
     timeout_ms: float,
@@ -115,7 +118,7 @@
     match_index: int,
     wake_at: Instant,
 ) -> Step:
-    """End the blank state once the own log holds the whole log of the leader.
+    """End the blank state once the local log holds the leader's complete log.
 
     The leader must have sent the request to this incarnation: an older request may
     end before entries that the earlier incarnation acknowledged.
--- a/pollenfold/core/agreement_replication.py
+++ b/pollenfold/core/agreement_replication.py
@@ -1,11 +1,11 @@
-"""Replication of entries and snapshots from the leader to the others."""
+"""Replication of entries and snapshots from the leader to its followers."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 from .agreement_log import Entry, Snapshot
-from .agreement_members import decode_members, with_members
+from .agreement_members import decode_members, with_voters_from_log
 from .agreement_messages import (
     Action,
     AppendRequest,
@@ -21,7 +21,7 @@
 from .agreement_rejoin import join_if_caught_up
 from .agreement_state import (
     HEARTBEAT_MS,
-    Incoming,
+    PartialSnapshot,
     Progress,
     Role,
     State,
@@ -31,13 +31,14 @@
 from .clock import Instant, add_ms
 
 BATCH_LIMIT_BYTES = 1 << 18
-"""Keeps a batch with one greatest command below the frame limit of 1 MiB."""
+"""Keeps a batch, even with a single command of maximum size, below the 1 MiB frame
+limit."""
 
-CHUNK_BYTES = 1 << 18
+SNAPSHOT_CHUNK_BYTES = 1 << 18
 
 
 def broadcast(state: State, now: Instant) -> Step:
-    """Send every follower what it lacks, or a heartbeat."""
+    """Send every follower the entries that it lacks, or a heartbeat."""
     state = replace(state, wake_at=add_ms(now, HEARTBEAT_MS))
     actions: list[Action] = []
     for peer in state.peers:
@@ -53,10 +54,10 @@
     entry = Entry(state.log.last_index + 1, state.term, command)
     state = replace(state, log=state.log.with_entries((entry,)))
     if state.is_dynamic and decode_members(command) is not None:
-        state = with_members(state, now)
+        state = with_voters_from_log(state, now)
     actions: list[Action] = [PersistEntries((entry,))]
     for peer in state.peers:
-        if not state.progress[peer].is_waiting:
+        if not state.progress[peer].is_awaiting_response:
             state, sends = _replicate(state, peer, now)
             actions += sends
     state, applies = advance_commit(state)
@@ -81,7 +82,7 @@
             progress.incarnation,
             now,
         )
-    state = _with_progress(state, peer, replace(progress, is_waiting=True))
+    state = _with_progress(state, peer, replace(progress, is_awaiting_response=True))
     return state, [state.send(peer, body)]
 
 
@@ -96,7 +97,7 @@
         snapshot.term,
         offset_bytes,
         len(snapshot.data),
-        snapshot.data[offset_bytes : offset_bytes + CHUNK_BYTES],
+        snapshot.data[offset_bytes : offset_bytes + SNAPSHOT_CHUNK_BYTES],
         state.log.last_index,
         progress.incarnation,
         now,
@@ -107,48 +108,53 @@
     return replace(state, progress={**state.progress, peer: progress})
 
 
-def observe_incarnation(
+def record_incarnation(
     state: State, message: Message, is_blank: bool, now: Instant
 ) -> State:
-    """Forget what an earlier incarnation of a follower had stored."""
+    """Reset the progress of a follower that has a new incarnation.
+
+    The entries that its earlier incarnation stored are lost with that disk.
+    """
     progress = state.progress.get(message.sender)
     if progress is None or progress.incarnation == message.incarnation:
         return state
-    if message.incarnation in progress.retired:
+    if message.incarnation in progress.retired_incarnations:
         return state
     if progress.incarnation:
-        retired = progress.retired | {progress.incarnation}
-        progress = Progress(1, progress.answered_at, retired=retired)
+        retired_incarnations = progress.retired_incarnations | {progress.incarnation}
+        progress = Progress(
+            1, progress.last_contact_at, retired_incarnations=retired_incarnations
+        )
     progress = replace(progress, incarnation=message.incarnation, is_blank=is_blank)
     return _with_progress(state, message.sender, progress)
 
 
-def on_response(
+def on_follower_response(
     state: State,
     message: Message,
     response: AppendResponse | SnapshotResponse,
     now: Instant,
     timeout_ms: float,
 ) -> Step:
-    """Record what a follower holds, commit, and send what it still lacks."""
+    """Record a follower's progress, advance the commit index and send more entries."""
     if response.term > state.term:
         return become_follower(state, response.term, None, add_ms(now, timeout_ms))
     if state.role is not Role.LEADER or response.term < state.term:
         return state, []
-    state = observe_incarnation(state, message, response.is_blank, now)
+    state = record_incarnation(state, message, response.is_blank, now)
     progress = state.progress.get(message.sender)
     if progress is None:
-        # The replica was removed from the members after the request was sent.
+        # The replica was removed from the group after the request was sent.
         return state, []
     if progress.incarnation != message.incarnation:
         return state, []
     progress = replace(
         progress,
-        answered_at=max(progress.answered_at, response.sent_at),
+        last_contact_at=max(progress.last_contact_at, response.sent_at),
         is_blank=response.is_blank,
-        is_waiting=False,
+        is_awaiting_response=False,
     )
-    progress = _updated(state, progress, response)
+    progress = _progress_after_response(state, progress, response)
     state = _with_progress(state, message.sender, progress)
     state, actions = advance_commit(state)
     if progress.next_index <= state.log.last_index:
@@ -157,12 +163,12 @@
     return state, actions
 
 
-def _updated(
+def _progress_after_response(
     state: State, progress: Progress, response: AppendResponse | SnapshotResponse
 ) -> Progress:
     if isinstance(response, SnapshotResponse):
-        is_same = response.index == state.log.snapshot.index
-        offset_bytes = response.n_bytes if is_same else 0
+        is_same_snapshot = response.index == state.log.snapshot.index
+        offset_bytes = response.n_bytes if is_same_snapshot else 0
         return replace(progress, snapshot_offset_bytes=offset_bytes)
     match_index = progress.match_index
     if response.is_success:
@@ -179,19 +185,19 @@
 
 
 def advance_commit(state: State) -> Step:
-    """Commit what a majority holds, if it ends with an entry of the own term.
+    """Commit the entries that a majority holds, if the last is of the current term.
 
-    An entry of an earlier term on a majority may still be replaced by a later
-    leader, so it is committed only together with one of the own term.
+    A later leader may still replace an entry of an earlier term that a majority
+    holds, so such an entry is committed only together with one of the current term.
     """
-    matches = [state.log.last_index] if state.is_voter(state.replica_id) else []
-    matches += [
+    match_indexes = [state.log.last_index] if state.is_voter(state.replica_id) else []
+    match_indexes += [
         0 if p.is_blank else p.match_index
         for k, p in state.progress.items()
         if state.is_voter(k)
     ]
-    matches.sort(reverse=True)
-    index = matches[state.n_majority - 1]
+    match_indexes.sort(reverse=True)
+    index = match_indexes[state.n_majority - 1]
     if index <= state.commit_index or state.log.term_at(index) != state.term:
         return state, []
     return _commit(state, index)
@@ -204,26 +210,30 @@
     return replace(state, commit_index=index), [Apply(entries)]
 
 
-def _follow(state: State, message: Message, term: int, now: Instant, ms: float) -> Step:
+def _follow(
+    state: State, message: Message, term: int, now: Instant, timeout_ms: float
+) -> Step:
     """Follow the leader that sent the message."""
-    state, actions = become_follower(state, term, message.sender, add_ms(now, ms))
+    state, actions = become_follower(
+        state, term, message.sender, add_ms(now, timeout_ms)
+    )
     return replace(state, heard_at=now), actions
 
 
-def on_append(
+def on_append_request(
     state: State,
     message: Message,
     request: AppendRequest,
     now: Instant,
     timeout_ms: float,
 ) -> Step:
-    """Store the leader's entries when they continue the own log."""
+    """Store the leader's entries if they continue the local log."""
     if request.term < state.term:
         return state, [_append_response(state, message, request, False, 0)]
     state, actions = _follow(state, message, request.term, now, timeout_ms)
     if request.previous_index >= state.log.snapshot.index:
         if state.log.term_at(request.previous_index) != request.previous_term:
-            # The committed part always agrees, so the leader continues after it.
+            # All logs agree up to the commit index, so the leader resumes after it.
             index = state.commit_index
             response = _append_response(state, message, request, False, index)
             return state, [*actions, response]
@@ -231,11 +241,11 @@
     if entries:
         if entries[0].index <= state.commit_index:
             raise AssertionError(
-                f"expected entries after the committed index {state.commit_index}, "
-                f"got one that replaces index {entries[0].index}"
+                f"expected entries after the commit index {state.commit_index}, "
+                f"got an entry that replaces index {entries[0].index}"
             )
         state = replace(state, log=state.log.with_entries(entries))
-        state = with_members(state, now)
+        state = with_voters_from_log(state, now)
         actions.append(PersistEntries(entries))
     match_index = request.previous_index + len(request.entries)
     state, applies = _commit(state, min(request.commit_index, match_index))
@@ -259,14 +269,14 @@
     return state.send(message.sender, body)
 
 
-def on_snapshot(
+def on_snapshot_request(
     state: State,
     message: Message,
     request: SnapshotRequest,
     now: Instant,
     timeout_ms: float,
 ) -> Step:
-    """Collect the parts of a snapshot, and install it when it is complete."""
+    """Collect the chunks of a snapshot, and install it when it is complete."""
     if request.term < state.term:
         return state, [_append_response(state, message, request, False, 0)]
     state, actions = _follow(state, message, request.term, now, timeout_ms)
@@ -276,9 +286,9 @@
             *actions,
             _append_response(state, message, request, True, index),
         ]
-    state = replace(state, incoming=_collected(state, request))
-    assert state.incoming is not None
-    data = state.incoming.data
+    state = replace(state, partial_snapshot=_with_snapshot_chunk(state, request))
+    assert state.partial_snapshot is not None
+    data = state.partial_snapshot.data
     if len(data) < request.n_total_bytes:
         body = SnapshotResponse(
             state.term, request.index, len(data), state.is_blank, request.sent_at
@@ -289,9 +299,9 @@
         state,
         log=state.log.with_snapshot(snapshot),
         commit_index=request.index,
-        incoming=None,
+        partial_snapshot=None,
     )
-    state = with_members(state, now)
+    state = with_voters_from_log(state, now)
     actions += [PersistLog(state.log), Restore(request.index, data)]
     state, joins = join_if_caught_up(
         state, request, request.index, add_ms(now, timeout_ms)
@@ -300,11 +310,11 @@
     return state, [*actions, *joins, response]
 
 
-def _collected(state: State, request: SnapshotRequest) -> Incoming:
-    incoming = state.incoming
+def _with_snapshot_chunk(state: State, request: SnapshotRequest) -> PartialSnapshot:
+    partial = state.partial_snapshot
     key = (request.term, request.index)
-    if incoming is None or (incoming.leader_term, incoming.index) != key:
-        incoming = Incoming(request.term, request.index, b"")
-    if request.offset_bytes == len(incoming.data):
-        incoming = replace(incoming, data=incoming.data + request.data)
-    return incoming
+    if partial is None or (partial.leader_term, partial.index) != key:
+        partial = PartialSnapshot(request.term, request.index, b"")
+    if request.offset_bytes == len(partial.data):
+        partial = replace(partial, data=partial.data + request.data)
+    return partial
--- a/pollenfold/core/agreement_state.py
+++ b/pollenfold/core/agreement_state.py
@@ -1,4 +1,4 @@
-"""The state of one replica of the log, and what can be read from it."""
+"""The state of one replica of the log, and values derived from it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Role(Enum):
-    """What a replica is doing in its term."""
+    """The Raft role of a replica in its term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -25,25 +25,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """What a leader knows of one follower.
+    """The replication progress of one follower, as its leader knows it.
 
-    ``answered_at`` is when the leader sent the last request that was answered.
-    ``retired`` holds earlier incarnations, whose late responses are ignored.
+    ``last_contact_at`` is when the leader sent the last request that got a response.
+    ``retired_incarnations`` holds earlier incarnations of the follower; their late
+    responses are ignored.
     """
 
     next_index: int
-    answered_at: Instant
+    last_contact_at: Instant
     match_index: int = 0
     incarnation: str = ""
-    retired: frozenset[str] = frozenset()
+    retired_incarnations: frozenset[str] = frozenset()
     is_blank: bool = False
-    is_waiting: bool = False
+    is_awaiting_response: bool = False
     snapshot_offset_bytes: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Incoming:
-    """The part of a snapshot that has arrived so far."""
+class PartialSnapshot:
+    """The chunks of a snapshot received so far."""
 
     leader_term: int
     index: int
@@ -52,29 +53,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejoin:
-    """What a blank replica has learnt from the others.
+    """The responses to the inquiries of a blank replica.
 
-    ``blank`` holds the blank replicas of the current round, ``confirmed`` those of
-    the round before when all were blank, and ``terms`` the terms of the others.
+    ``blank_peers`` maps the replicas that were blank in the current round to their
+    incarnations; ``previous_blank_peers`` holds those of the round before if all
+    peers were blank, and is empty otherwise. ``terms`` holds the terms of the peers
+    that aren't blank.
     """
 
     started_at: Instant
     round: int = 0
     round_started_at: Instant = Instant(0.0)
-    blank: dict[str, str] = field(default_factory=dict)
-    confirmed: dict[str, str] = field(default_factory=dict)
+    blank_peers: dict[str, str] = field(default_factory=dict)
+    previous_blank_peers: dict[str, str] = field(default_factory=dict)
     terms: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """One replica: identity, durable state, then what a restart forgets.
+    """The state of one replica: identity, durable state, then volatile state.
 
     With ``is_dynamic`` the voters are those that the log names; learners receive the
-    log and don't vote. No vote is given in a term up to ``vote_floor``. ``heard_at``
-    is when a leader was last heard, or the start: a restarted replica may have
-    promised its leader not to vote for another just before. ``wake_at`` is when the
-    next tick is due.
+    log and don't vote. No vote is granted in a term up to ``vote_floor``.
+    ``heard_at`` is when a message from a leader was last received, or the start of
+    the replica: it may have acknowledged a leader just before a restart, and must not
+    vote for another one until the shortest election timeout has passed. ``wake_at``
+    is when the next tick is due.
     """
 
     replica_id: str
@@ -95,7 +99,7 @@
     votes: frozenset[str] = frozenset()
     progress: dict[str, Progress] = field(default_factory=dict)
     term_start_index: int = 0
-    incoming: Incoming | None = None
+    partial_snapshot: PartialSnapshot | None = None
     is_dynamic: bool = False
     voters: frozenset[str] = frozenset()
     learners: frozenset[str] = frozenset()
@@ -108,7 +112,7 @@
         return (len(self.peers) + 1) // 2 + 1
 
     def is_voter(self, replica_id: str) -> bool:
-        """Return whether a replica counts for majorities.
+        """Return whether a replica counts towards majorities.
 
         Without dynamic members every replica does.
         """
@@ -119,50 +123,50 @@
         return Send(Message(self.replica_id, recipient, self.incarnation, body))
 
     def persist(self) -> PersistState:
-        """Return the action that stores term and vote."""
+        """Return the action that stores the term, vote, vote floor and founders."""
         return PersistState(self.term, self.vote, self.vote_floor, self.founders)
 
 
 Step = tuple[State, list[Action]]
-"""The state after an event, and the actions to perform in their order."""
+"""The state after an event, and the actions to perform in this order."""
 
 
-def majority_answered_at(state: State, now: Instant) -> Instant:
-    """Return the instant since which a majority has answered this leader.
+def majority_contact_at(state: State, now: Instant) -> Instant:
+    """Return the instant since which a majority has been in contact with this leader.
 
     A blank replica doesn't count, because it takes no part in elections.
     """
-    instants = [now] if state.is_voter(state.replica_id) else []
-    instants += [
-        p.answered_at
+    contact_times = [now] if state.is_voter(state.replica_id) else []
+    contact_times += [
+        p.last_contact_at
         for k, p in state.progress.items()
         if not p.is_blank and state.is_voter(k)
     ]
-    instants.sort(reverse=True)
-    if len(instants) < state.n_majority:
+    contact_times.sort(reverse=True)
+    if len(contact_times) < state.n_majority:
         return Instant(float("-inf"))
-    return instants[state.n_majority - 1]
+    return contact_times[state.n_majority - 1]
 
 
 def is_leader(state: State, now: Instant) -> bool:
-    """Return whether no other replica can have been elected.
+    """Return whether this replica leads and no other one can have been elected.
 
-    True only while a majority answered within the shortest election timeout and an
-    entry of the own term is committed. The timeout counts from when the answered
-    requests were sent, which is before the others received them.
+    True only while a majority has responded within the shortest election timeout and
+    an entry of the current term is committed. The timeout counts from when the leader
+    sent the requests, which is before the followers received them.
     """
     if state.role is not Role.LEADER or state.commit_index < state.term_start_index:
         return False
-    return now < add_ms(majority_answered_at(state, now), ELECTION_TIMEOUT_MIN_MS)
+    return now < add_ms(majority_contact_at(state, now), ELECTION_TIMEOUT_MIN_MS)
 
 
 def become_follower(
     state: State, term: int, leader_id: str | None, wake_at: Instant
 ) -> Step:
-    """Return the state as a follower in the given term, which is never lower.
+    """Return the state as a follower in the given term, never lower than its own.
 
-    A blank replica keeps its time of the next inquiry, which heartbeats would
-    otherwise put off.
+    A blank replica keeps the time of its next inquiry, which heartbeats would
+    otherwise delay.
     """
     actions: list[Action] = []
     if term > state.term:
--- a/pollenfold/storage/__init__.py
+++ b/pollenfold/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Files of the data folder: durable journals and snapshots."""
+"""The files in the data folder: durable journals and snapshots."""
--- a/pollenfold/storage/agreement.py
+++ b/pollenfold/storage/agreement.py
@@ -1,4 +1,4 @@
-"""The data folder of a replica of the log: identity, votes, entries and snapshot."""
+"""The data folder of a log replica: its identity, votes, entries and snapshot."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 class AgreementStorage:
     """Stores the persist actions of one replica in one journal.
 
-    The snapshot is in the same file as the entries after it, which
-    ``Journal.rewrite`` replaces in one step, so a crash never leaves the entries of
-    one log beside the snapshot of another.
+    The snapshot and the entries after it are in one file, which ``Journal.rewrite``
+    replaces atomically, so a crash never leaves the entries of one log with the
+    snapshot of another.
     """
 
     def __init__(
@@ -42,9 +42,9 @@
         replica_id: str,
         open_journal: OpenJournal = Journal.open,
     ) -> None:
-        """Open the folder; raise OSError when it can't be written.
+        """Open the folder; raise OSError if it can't be written.
 
-        The file is written anew, because after a failed sync the old one may hold
+        The file is rewritten, because after a failed sync the old one may hold
         entries that can be read but never became durable.
         """
         self._folder = folder
@@ -61,7 +61,7 @@
             raise OSError(result.error.detail)
 
     def persist(self, action: Persist) -> Result[None, Failure]:
-        """Perform one action durably; ``STORAGE_FAILED`` when that fails."""
+        """Perform one action durably; return ``STORAGE_FAILED`` if that fails."""
         match action:
             case PersistState():
                 self.stored = action
@@ -69,10 +69,14 @@
             case PersistEntries(entries):
                 return self._journal.append([_entry_record(entry) for entry in entries])
             case PersistLog(log):
-                votes = [] if self.stored is None else [_vote_record(self.stored)]
-                tail = [_entry_record(entry) for entry in log.entries]
-                snapshot = _snapshot_records(log.snapshot)
-                return self._journal.rewrite([*votes, *snapshot, *tail])
+                vote_records = (
+                    [] if self.stored is None else [_vote_record(self.stored)]
+                )
+                entry_records = [_entry_record(entry) for entry in log.entries]
+                snapshot_records = _snapshot_records(log.snapshot)
+                return self._journal.rewrite(
+                    [*vote_records, *snapshot_records, *entry_records]
+                )
             case PersistJoined():
                 return self._mark_joined()
 
@@ -84,7 +88,6 @@
         return Ok(None)
 
     def close(self) -> None:
-        """Close the journal."""
         self._journal.close()
 
 
@@ -109,7 +112,7 @@
 
 
 def _snapshot_records(snapshot: Snapshot) -> list[bytes]:
-    """Return the snapshot in parts, since the journal limits one entry's size."""
+    """Return the snapshot in chunks, since the journal limits the size of an entry."""
     return [
         _record(
             snapshot={
@@ -137,13 +140,13 @@
                     stored = _read_vote(reader.vote)
                 case "entry":
                     entry = reader.entry
-                    item = Entry(entry.index, entry.term, bytes(entry.command))
-                    log = log.with_entries((item,))
+                    stored_entry = Entry(entry.index, entry.term, bytes(entry.command))
+                    log = log.with_entries((stored_entry,))
                 case _:
-                    part = reader.snapshot
-                    data += bytes(part.data)
-                    if len(data) == part.nTotalBytes:
-                        log = Log(Snapshot(part.index, part.term, data))
+                    chunk = reader.snapshot
+                    data += bytes(chunk.data)
+                    if len(data) == chunk.nTotalBytes:
+                        log = Log(Snapshot(chunk.index, chunk.term, data))
     return stored, log
 
 
--- a/pollenfold/storage/endpoint_cache.py
+++ b/pollenfold/storage/endpoint_cache.py
@@ -1,9 +1,10 @@
-"""The endpoints that a control replica knew, for the time right after a restart.
+"""A cache of the endpoints that a control replica knew, used after a restart.
 
-Endpoints repeat their announcements only every second or two. Until then a group
-that restarted as a whole would send all requests to the few that came first. The
-file is a hint: what it says is checked by the endpoints' own answers, and what must
-hold (departures) is in the replicated log.
+Endpoints repeat their announcements only every second or two. Until then, a group of
+which all replicas restarted would direct all requests to the few endpoints that
+announced themselves first. The file is only a hint: the endpoints' own responses
+verify its content, and state that must not be lost (departures) is in the replicated
+log.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 def write_endpoint_cache(
     folder: Path, announcements: list[list[object]], n_entries: int
 ) -> None:
-    """Replace the file; raise OSError when that fails."""
+    """Replace the file atomically; raise OSError if that fails."""
     fields = {"announcements": announcements, "n_entries": n_entries}
     temporary = folder / f"{FILE_NAME}.new"
     with temporary.open("w") as file:
@@ -32,7 +33,7 @@
 
 
 def read_endpoint_cache(folder: Path) -> tuple[list[list[object]], int]:
-    """Return what was written last; nothing for a missing or damaged file."""
+    """Return the cached content; empty for a missing or corrupt file."""
     try:
         fields = json.loads((folder / FILE_NAME).read_text())
         return list(fields["announcements"]), int(fields["n_entries"])
--- a/pollenfold/storage/identity.py
+++ b/pollenfold/storage/identity.py
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """A replica and one life of its disk.
+    """A replica and one incarnation of its disk.
 
-    ``incarnation`` is drawn anew for every empty data folder, so peers can tell a
-    replica that lost its disk from the one they knew. ``is_blank`` is true until
-    ``mark_joined`` was called for this folder: a blank replica must not vote.
+    ``incarnation`` is generated for every empty data folder, so peers can distinguish
+    a replica that lost its disk from its earlier incarnation. ``is_blank`` is true
+    until ``mark_joined`` was called for this folder: a blank replica must not vote.
     """
 
     replica_id: str
@@ -27,9 +27,9 @@
 
 
 def load_identity(folder: Path, replica_id: str) -> Identity:
-    """Read the identity of the folder, or draw a new blank one and store it.
+    """Read the identity of the folder, or generate a new blank one and store it.
 
-    Raise ValueError when the folder belongs to another replica, and OSError when it
+    Raise ValueError if the folder belongs to another replica, and OSError if it
     can't be written.
     """
     journal, entries = Journal.open(folder / FILE_NAME)
--- a/pollenfold/storage/journal.py
+++ b/pollenfold/storage/journal.py
@@ -13,7 +13,7 @@
 
 _HEADER = struct.Struct(">IQ")
 MAX_ENTRY_BYTES = 1 << 22
-"""A longer length field can only come from a damaged file."""
+"""A larger length field can only come from a corrupt file."""
 
 
 def _frame(entry: bytes) -> bytes:
@@ -21,7 +21,7 @@
 
 
 def _read_entries(data: bytes) -> tuple[list[bytes], int]:
-    """Return the whole entries and the length in bytes of the part they fill."""
+    """Return the complete entries and the length in bytes of the part they fill."""
     entries = []
     offset = 0
     while offset + _HEADER.size <= len(data):
@@ -38,7 +38,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Make the names in a folder durable."""
+    """Make the directory entries of a folder durable."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -49,8 +49,8 @@
 class Journal:
     """Entries of bytes in one file, each with its length and checksum.
 
-    A torn entry at the end, left by a crash during a write, is cut off when the
-    file is opened. After a failed write the journal refuses further appends,
+    A torn entry at the end, left by a crash during a write, is truncated when the
+    file is opened. After a failed write the journal rejects further appends,
     because the state of the file is then unknown (an ``fsync`` that failed once
     may report success later without having written the data).
 
@@ -61,7 +61,7 @@
     def __init__(self, path: Path, descriptor: int) -> None:
         self.path = path
         self._descriptor = descriptor
-        self._failed = False
+        self._has_failed = False
 
     @classmethod
     def open(cls, path: Path) -> tuple[Journal, list[bytes]]:
@@ -78,8 +78,8 @@
         return cls(path, descriptor), entries
 
     def append(self, entries: list[bytes]) -> Result[None, Failure]:
-        """Write the entries and sync them; ``STORAGE_FAILED`` when that fails."""
-        if self._failed:
+        """Write and sync the entries; return ``STORAGE_FAILED`` if that fails."""
+        if self._has_failed:
             return Error(Failure(ErrorKind.STORAGE_FAILED, "an earlier write failed"))
         data = memoryview(b"".join(_frame(entry) for entry in entries))
         try:
@@ -87,12 +87,12 @@
                 data = data[os.write(self._descriptor, data) :]
             os.fsync(self._descriptor)
         except OSError as error:
-            self._failed = True
+            self._has_failed = True
             return Error(Failure(ErrorKind.STORAGE_FAILED, str(error)))
         return Ok(None)
 
     def rewrite(self, entries: list[bytes]) -> Result[None, Failure]:
-        """Replace all entries in one atomic step; ``STORAGE_FAILED`` on failure."""
+        """Replace all entries atomically; return ``STORAGE_FAILED`` if that fails."""
         temporary = self.path.with_suffix(".new")
         descriptor = None
         try:
@@ -104,7 +104,7 @@
             os.replace(temporary, self.path)
             sync_folder(self.path.parent)
         except OSError as error:
-            self._failed = True
+            self._has_failed = True
             if descriptor is not None:
                 os.close(descriptor)
             return Error(Failure(ErrorKind.STORAGE_FAILED, str(error)))
@@ -113,5 +113,4 @@
         return Ok(None)
 
     def close(self) -> None:
-        """Close the file."""
         os.close(self._descriptor)
