--- a/pollenfold/tests/core/dynamic_cores.py
+++ b/pollenfold/tests/core/dynamic_cores.py
@@ -1,7 +1,7 @@
-"""Cores of the replicated log whose members are agreed on in the log.
+"""A simulated cluster whose members are agreed on in the replicated log.
 
 Machines are named by a letter; each disk of a machine has an id of its own, such as
-``b/2``. The checks are those of ``Cores``.
+``b/2``. The checks are those of ``SimulatedCluster``.
 """
 
 from pollenfold.core.agreement_members import (
@@ -11,14 +11,14 @@
     wrap_snapshot,
 )
 from pollenfold.core.agreement_messages import Join, Propose
-from pollenfold.tests.core.cores import Core, Cores
+from pollenfold.tests.core.cores import SimulatedCluster, SimulatedReplica
 
 JOIN_INTERVAL_MS = 200
 N_TARGET = 5
 
 
-class DynamicCores(Cores):
-    """Cores that start with a founder; the others join it."""
+class SimulatedDynamicCluster(SimulatedCluster):
+    """A cluster that starts with a founder; the other replicas join it."""
 
     is_dynamic = True
 
@@ -31,26 +31,26 @@
             self.add_disk("abcdefgh"[position], is_founder=position == 0)
 
     def add_disk(self, machine, is_founder=False):
-        """Start a machine on an empty disk; what it had before is gone."""
-        for name in [k for k in self.cores if k.split("/")[0] == machine]:
-            del self.cores[name]
+        """Start a machine on an empty disk; its earlier disk is lost."""
+        for name in [k for k in self.replicas if k.split("/")[0] == machine]:
+            del self.replicas[name]
         name = f"{machine}/{self.n_disks}"
         self.n_disks += 1
-        core = self.cores[name] = Core(name, name, is_blank=False)
+        replica = self.replicas[name] = SimulatedReplica(name, name, is_blank=False)
         if is_founder:
-            core.stored, core.log = founding(name)
+            replica.stored, replica.log = founding(name)
         self.start(name)
         return name
 
-    def first_members(self, name):
+    def initial_members(self, name):
         return frozenset({name})
 
     def deliver(self, position):
-        message = self.flight[position]
-        if message.recipient in self.cores:
+        message = self.in_flight[position]
+        if message.recipient in self.replicas:
             super().deliver(position)
         else:
-            self.flight.pop(position)
+            self.in_flight.pop(position)
 
     def snapshot(self, index):
         commands = [entry.command for entry, _ in self.committed[:index]]
@@ -64,25 +64,31 @@
         if self.now < self.joined_at + JOIN_INTERVAL_MS:
             return
         self.joined_at = self.now
-        for name, core in list(self.cores.items()):
-            if core.state is None:
+        for name, replica in list(self.replicas.items()):
+            if replica.state is None:
                 continue
-            change = next_members(core.state, self.n_target, self.now)
+            change = next_members(replica.state, self.n_target, self.now)
             if change is not None:
                 self.step(name, Propose(change[0].command))
-        self.ask_to_join()
+        self.request_to_join()
 
-    def ask_to_join(self):
-        """Let each core that is no voter of the leader ask it, unless it is cut off."""
+    def request_to_join(self):
+        """Let each replica that isn't a voter request to join, unless partitioned."""
         leader = self.leader()
         if leader is None:
             return
-        for name, core in self.cores.items():
-            is_cut = (name in self.cut_off) != (leader.replica_id in self.cut_off)
-            if core.state is not None and name not in leader.voters and not is_cut:
+        for name, replica in self.replicas.items():
+            is_partitioned = (name in self.isolated) != (
+                leader.replica_id in self.isolated
+            )
+            if (
+                replica.state is not None
+                and name not in leader.voters
+                and not is_partitioned
+            ):
                 self.step(leader.replica_id, Join(name))
 
     def voters(self):
-        """Return the voters that the leader knows."""
+        """Return the voters in the leader's state."""
         leader = self.leader()
         return frozenset() if leader is None else leader.voters
--- a/properties/conftest.py
+++ b/properties/conftest.py
@@ -1,4 +1,4 @@
-"""Profiles of hypothesis: CI uses a fixed seed, so that a verdict repeats."""
+"""Hypothesis profiles: CI uses a fixed seed, so that results are reproducible."""
 
 import os
 
--- a/properties/test_agreement.py
+++ b/properties/test_agreement.py
@@ -1,9 +1,9 @@
-"""The replicated log keeps its promises under any schedule of faults."""
+"""Safety and liveness of the replicated log under any schedule of faults."""
 
 from hypothesis import event, given
 from hypothesis import strategies as st
 
-from pollenfold.tests.core.cores import Cores, perform_fault
+from pollenfold.tests.core.cores import SimulatedCluster, perform_fault
 
 FAULTS = [
     "deliver",
@@ -17,7 +17,7 @@
     "crash",
     "restart",
     "lose_disk",
-    "cut_off",
+    "partition",
     "heal",
     "propose",
     "propose",
@@ -28,38 +28,41 @@
 LOSSES = st.tuples(st.integers(0, 4), st.lists(STEPS, max_size=12))
 
 
-def may_lose_disk(cores, name):
-    """Beyond a minority of blank replicas the page promises no change."""
-    n_blank = sum(c.is_blank for k, c in cores.cores.items() if k != name)
-    return n_blank < (len(cores.cores) - 1) // 2
+def may_lose_disk(cluster, name):
+    """Return whether the guarantees still hold with this disk lost too.
+
+    They cover only a minority of blank replicas.
+    """
+    n_blank = sum(c.is_blank for k, c in cluster.replicas.items() if k != name)
+    return n_blank < (len(cluster.replicas) - 1) // 2
 
 
-def perform(cores, fault, first, second):
-    name = list(cores.cores)[first % len(cores.cores)]
+def perform(cluster, fault, first, second):
+    name = list(cluster.replicas)[first % len(cluster.replicas)]
     if fault != "lose_disk":
-        perform_fault(cores, name, fault, first, second)
-    elif may_lose_disk(cores, name):
-        cores.lose_disk(name)
+        perform_fault(cluster, name, fault, first, second)
+    elif may_lose_disk(cluster, name):
+        cluster.lose_disk(name)
 
 
-def check_progress(cores):
-    """All replicas take part and apply a new change 4 s after the faults stop."""
-    cores.recover(4000)
-    for core in cores.cores.values():
-        assert not core.is_blank
-        assert core.n_applied == len(cores.committed)
+def check_progress(cluster):
+    """All replicas rejoin and apply a new command 4 s after the faults stop."""
+    cluster.recover(4000)
+    for replica in cluster.replicas.values():
+        assert not replica.is_blank
+        assert replica.n_applied == len(cluster.committed)
 
 
 @given(st.sampled_from([3, 5]), st.booleans(), SCHEDULES, st.integers(0, 2**16))
-def test_any_schedule(n_cores, is_founded, schedule, seed):
+def test_any_schedule(n_replicas, is_founded, schedule, seed):
     """Guards against two leaders in a term, and lost or changed entries."""
-    cores = Cores(n_cores, seed)
+    cluster = SimulatedCluster(n_replicas, seed)
     if is_founded:
-        cores.run(2000)
+        cluster.run(2000)
     for fault, first, second in schedule:
-        perform(cores, fault, first, second)
-    event(f"lost disks: {min(cores.n_lost_disks, 3)}")
-    check_progress(cores)
+        perform(cluster, fault, first, second)
+    event(f"lost disks: {min(cluster.n_lost_disks, 3)}")
+    check_progress(cluster)
 
 
 @given(
@@ -67,22 +70,22 @@
     st.lists(LOSSES, min_size=2, max_size=4),
     st.integers(0, 2**16),
 )
-def test_second_loss_right_after_a_repair(n_cores, losses, seed):
-    """Guards against a repaired replica that lets the others forget a change.
+def test_second_loss_right_after_a_repair(n_replicas, losses, seed):
+    """Guards against a change lost because a replica rejoined without it.
 
-    Each disk is lost in the middle of replication, and the next one as soon as the
-    page allows it.
+    Each disk is lost during replication, and the next one as soon as the guarantees
+    permit it.
     """
-    cores = Cores(n_cores, seed)
-    cores.run(3000)
+    cluster = SimulatedCluster(n_replicas, seed)
+    cluster.run(3000)
     for lost, schedule in losses:
-        cores.propose(b"before the loss")
+        cluster.propose(b"before the loss")
         for fault, first, second in schedule:
-            perform(cores, fault, first, second)
-        name = list(cores.cores)[lost % n_cores]
+            perform(cluster, fault, first, second)
+        name = list(cluster.replicas)[lost % n_replicas]
         for _ in range(200):
-            if may_lose_disk(cores, name):
-                cores.lose_disk(name)
+            if may_lose_disk(cluster, name):
+                cluster.lose_disk(name)
                 break
-            cores.run(20)
-    check_progress(cores)
+            cluster.run(20)
+    check_progress(cluster)
