--- a/pollenfold/tests/storage/test_agreement.py
+++ b/pollenfold/tests/storage/test_agreement.py
@@ -1,4 +1,4 @@
-"""The data folder of a replica survives a kill at any write."""
+"""Durability of a replica's data folder when the process is killed at any write."""
 
 import os
 
@@ -14,8 +14,8 @@
 from pollenfold.storage.agreement import AgreementStorage
 
 
-class Killed(BaseException):
-    """Stands for the end of the process; no handler of errors may catch it."""
+class ProcessKilled(BaseException):
+    """Simulates a killed process; no error handler may catch it."""
 
 
 ENTRIES = tuple(Entry(index, 1, b"command") for index in range(1, 5))
@@ -29,41 +29,41 @@
 ]
 
 
-def kill_at(monkeypatch, n_calls):
-    """Let the process end in the given call that changes a file.
+def kill_at_call(monkeypatch, n_calls):
+    """Raise ProcessKilled in the given one of the calls that change a file.
 
-    Return a function that tells how many calls were left.
+    Return a function that returns how many calls are left until then.
     """
-    left = n_calls
-    write = os.write
-
-    def guard(name, function):
-        def guarded(*args):
-            nonlocal left
-            left -= 1
-            if left < 0:
-                if name == "write" and left == -1:
-                    write(args[0], args[1][: len(args[1]) // 2])
-                raise Killed
+    n_calls_left = n_calls
+    original_write = os.write
+
+    def intercept(name, function):
+        def intercepted(*args):
+            nonlocal n_calls_left
+            n_calls_left -= 1
+            if n_calls_left < 0:
+                if name == "write" and n_calls_left == -1:
+                    original_write(args[0], args[1][: len(args[1]) // 2])
+                raise ProcessKilled
             return function(*args)
 
-        monkeypatch.setattr(os, name, guarded)
+        monkeypatch.setattr(os, name, intercepted)
 
     for name in ("write", "fsync", "replace"):
-        guard(name, getattr(os, name))
-    return lambda: left
+        intercept(name, getattr(os, name))
+    return lambda: n_calls_left
 
 
-def read(folder):
+def read_storage(folder):
     storage = AgreementStorage(folder, "a")
     storage.close()
     return storage.stored, storage.log, storage.identity.is_blank
 
 
-def parts(state, actions):
+def torn_write_states(state, actions):
     """Return the states that a torn write of entries may leave.
 
-    None of the entries was acknowledged, so any number of the first ones is right.
+    None of the entries was acknowledged, so any prefix of them is valid.
     """
     stored, log, is_blank = state
     return [
@@ -75,32 +75,36 @@
 
 
 def test_kill_at_any_write_leaves_a_folder_that_can_be_opened(tmp_path, monkeypatch):
-    """Guards against acknowledged state that a kill takes back, or half of a write."""
-    folder = tmp_path / "whole"
+    """Guards against a kill that loses acknowledged state or leaves a partial write."""
+    folder = tmp_path / "complete"
     storage = AgreementStorage(folder, "a")
-    states = [read(folder)]
+    states = [read_storage(folder)]
     for action in ACTIONS:
         assert storage.persist(action).is_ok()
-        states.append(read(folder))
+        states.append(read_storage(folder))
         storage = AgreementStorage(folder, "a")
     assert states[-1][1].last_index == 5
     for n_calls in range(200):
         folder = tmp_path / str(n_calls)
-        n_done = 0
+        n_performed = 0
         with monkeypatch.context() as patch:
-            n_left = kill_at(patch, n_calls)
+            n_calls_left = kill_at_call(patch, n_calls)
             try:
                 storage = AgreementStorage(folder, "a")
                 for action in ACTIONS:
                     assert storage.persist(action).is_ok()
-                    n_done += 1
-            except Killed:
+                    n_performed += 1
+            except ProcessKilled:
                 pass
-        in_part = parts(states[n_done], ACTIONS[n_done : n_done + 1])
-        assert read(folder) in states[n_done : n_done + 2] + in_part
-        if n_left() >= 0:
+        torn_states = torn_write_states(
+            states[n_performed], ACTIONS[n_performed : n_performed + 1]
+        )
+        assert (
+            read_storage(folder) in states[n_performed : n_performed + 2] + torn_states
+        )
+        if n_calls_left() >= 0:
             return
-    pytest.fail("expected all actions to be done within 200 calls")
+    pytest.fail("expected all actions to be performed within 200 calls")
 
 
 def test_joined_replica_without_its_log_is_refused(tmp_path):
--- a/pollenfold/tests/storage/test_identity.py
+++ b/pollenfold/tests/storage/test_identity.py
@@ -1,4 +1,4 @@
-"""A replica knows whether its data folder is the one it had."""
+"""A replica detects whether its data folder is the one it used before."""
 
 import pytest
 
@@ -11,13 +11,13 @@
     assert identity.is_blank
     assert load_identity(tmp_path, "a") == identity
     mark_joined(tmp_path, identity)
-    again = load_identity(tmp_path, "a")
-    assert not again.is_blank
-    assert again.incarnation == identity.incarnation
+    reloaded = load_identity(tmp_path, "a")
+    assert not reloaded.is_blank
+    assert reloaded.incarnation == identity.incarnation
 
 
 def test_lost_disk_draws_a_new_incarnation(tmp_path):
-    """Guards against peers that take an empty replica for the one they knew."""
+    """Guards against peers that mistake an empty replica for its predecessor."""
     first = load_identity(tmp_path / "one", "a")
     assert load_identity(tmp_path / "two", "a").incarnation != first.incarnation
 
--- a/pollenfold/tests/storage/test_journal.py
+++ b/pollenfold/tests/storage/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal keeps what it acknowledged through crashes at any byte."""
+"""The journal keeps acknowledged entries through a crash at any byte."""
 
 import os
 
@@ -10,7 +10,7 @@
 ENTRIES = [b"first", b"", b"third" * 100]
 
 
-def write(path, entries):
+def append_entries(path, entries):
     journal, _ = Journal.open(path)
     assert journal.append(entries).is_ok()
     journal.close()
@@ -19,16 +19,16 @@
 def test_entries_survive_reopening(tmp_path):
     """Guards against entries that are lost or reordered by a restart."""
     path = tmp_path / "log"
-    write(path, ENTRIES[:1])
-    write(path, ENTRIES[1:])
+    append_entries(path, ENTRIES[:1])
+    append_entries(path, ENTRIES[1:])
     assert Journal.open(path)[1] == ENTRIES
 
 
 @pytest.mark.parametrize("n_lost_bytes", [1, 4, 12, 300, 505])
-def test_torn_last_entry_is_cut_off(tmp_path, n_lost_bytes):
+def test_torn_last_entry_is_truncated(tmp_path, n_lost_bytes):
     """Guards against a torn last record that hides or corrupts the earlier ones."""
     path = tmp_path / "log"
-    write(path, ENTRIES)
+    append_entries(path, ENTRIES)
     os.truncate(path, path.stat().st_size - n_lost_bytes)
     journal, entries = Journal.open(path)
     assert entries == ENTRIES[:2]
@@ -36,10 +36,10 @@
     assert Journal.open(path)[1] == [*ENTRIES[:2], b"next"]
 
 
-def test_damaged_byte_ends_the_entries(tmp_path):
-    """Guards against a damaged entry that is read as if it were whole."""
+def test_corrupt_byte_ends_the_entries(tmp_path):
+    """Guards against a corrupt entry that is read as if it were valid."""
     path = tmp_path / "log"
-    write(path, ENTRIES)
+    append_entries(path, ENTRIES)
     data = bytearray(path.read_bytes())
     data[-1] ^= 1
     path.write_bytes(bytes(data))
@@ -65,13 +65,13 @@
 
 
 def test_failed_rewrite_closes_its_file(tmp_path, monkeypatch):
-    """Guards against attempts on a full disk that use up the file descriptors."""
+    """Guards against a file descriptor leak when rewrites fail on a full disk."""
     journal, _ = Journal.open(tmp_path / "log")
     n_open = len(os.listdir("/proc/self/fd"))
 
-    def fail(descriptor):
+    def fail_fsync(descriptor):
         raise OSError("no space left")
 
-    monkeypatch.setattr(os, "fsync", fail)
+    monkeypatch.setattr(os, "fsync", fail_fsync)
     assert journal.rewrite(ENTRIES).error.kind is ErrorKind.STORAGE_FAILED
     assert len(os.listdir("/proc/self/fd")) == n_open
--- a/properties/test_configuration.py
+++ b/properties/test_configuration.py
@@ -1,4 +1,4 @@
-"""Properties of the configuration, the leases and in force under any interleaving."""
+"""Properties of configuration changes, leases and ``in_force`` in any interleaving."""
 
 import json
 from pathlib import Path
@@ -38,48 +38,50 @@
     st.integers(0, 4),
     st.integers(0, 1),
 )
-GARBAGE = st.builds(Change, st.just("garbage"), st.binary(max_size=20))
+MALFORMED_CHANGES = st.builds(Change, st.just("garbage"), st.binary(max_size=20))
 
 
-@given(st.lists(st.tuples(st.one_of(CHANGES, GARBAGE), st.booleans())))
+@given(st.lists(st.tuples(st.one_of(CHANGES, MALFORMED_CHANGES), st.booleans())))
 def test_racing_operators_and_restarts_agree(steps):
-    """Guards against two winners of one version, and replicas that disagree.
+    """Guards against two accepted changes of one version, and replicas that diverge.
 
-    The second replica is restored from a snapshot of itself at any point.
+    The second replica is restored from its own snapshot at any point.
     """
     first, second = ConfigurationState(), ConfigurationState()
-    seen = {}
-    accepted = {}
+    known_results = {}
+    accepted_versions = {}
     for change, is_restarted in steps:
         if is_restarted:
             second = decode_state(encode_state(second))
         revision = first.revision
-        answer = apply_change(first, change)
-        assert apply_change(second, change) == answer
-        known = seen.setdefault(change.change_id, (change.record, answer))
-        if known[0] == change.record:
-            assert answer == known[1]
+        result = apply_change(first, change)
+        assert apply_change(second, change) == result
+        known_result = known_results.setdefault(
+            change.change_id, (change.record, result)
+        )
+        if known_result[0] == change.record:
+            assert result == known_result[1]
         else:
-            assert answer.error is ErrorKind.BAD_REQUEST
+            assert result.error is ErrorKind.BAD_REQUEST
         if first.revision != revision:
             fields = json.loads(change.record)
-            assert fields["version"] == accepted.get(fields["name"], 0) + 1
-            accepted[fields["name"]] = fields["version"]
+            assert fields["version"] == accepted_versions.get(fields["name"], 0) + 1
+            accepted_versions[fields["name"]] = fields["version"]
             assert first.revision == revision + 1
-    assert sum(accepted.values()) == first.revision
+    assert sum(accepted_versions.values()) == first.revision
     assert encode_state(first) == encode_state(second)
 
 
 @given(st.one_of(st.binary(max_size=200), st.text().map(str.encode)))
-def test_any_bytes_are_a_record_or_a_bad_record(data):
-    """Guards against an exception on a record that an operator sends."""
+def test_arbitrary_bytes_are_a_record_or_a_bad_record(data):
+    """Guards against an exception raised by a record from an operator."""
     result = parse_record(data)
     assert result.is_ok() or result.error.kind is ErrorKind.BAD_RECORD
 
 
 @given(st.binary(max_size=400))
-def test_any_bytes_are_a_message_or_a_bad_frame(data):
-    """Guards against an exception on bytes from a peer."""
+def test_arbitrary_bytes_are_a_message_or_a_bad_frame(data):
+    """Guards against an exception raised by bytes from a peer."""
     for decode in (decode_request, decode_response):
         result = decode(data)
         assert result.is_ok() or result.error.kind is ErrorKind.BAD_FRAME
@@ -88,7 +90,7 @@
 class Fleet:
     """A control replica that may lose and regain leadership, and three entries.
 
-    Requests and responses are kept until a step delivers them, in any order, more
+    Requests and responses stay queued until a step delivers them, in any order, more
     than once, or never.
     """
 
@@ -112,7 +114,7 @@
         self.revisions = [0, 0, 0]
 
     async def change(self, number):
-        """Store a change; some raise the limit of entries."""
+        """Submit a change; some raise the maximum number of entries."""
         self.n_changes += 1
         name = f"n{self.n_changes}"
         fields = {"schema_version": 1, "kind": "zone", "name": name, "version": 1}
@@ -131,7 +133,7 @@
         request = self.entries[number].request(0.0, self.clock())
         self.requests.append((number, request, self.clock()))
 
-    async def answer(self, number):
+    async def respond(self, number):
         if self.requests:
             entry, request, sent_at = self.requests[-1 - number % len(self.requests)]
             payload = await self.service.handle(encode_request(request))
@@ -146,29 +148,31 @@
 
     async def exchange(self, number):
         await self.send(number)
-        await self.answer(0)
+        await self.respond(0)
         await self.deliver(0)
 
     async def advance(self, number):
         self.clock.advance((50, 450, 1900)[number])
 
     async def elect(self, number):
-        """Another leader is elected, which knows every accepted change."""
+        """Elect another leader, which holds every accepted change."""
         self.replica.follow("c2")
         self.replica.lead()
         await self.state._follow_leadership()
 
     def check(self):
         now = self.clock()
-        held = self.state.leadership()
-        if held is not None:
+        leadership = self.state.leadership()
+        if leadership is not None:
             newest = self.state.configuration.revision
-            in_force = held.directory.in_force_revision(newest, now)
+            in_force = leadership.directory.in_force_revision(newest, now)
             self.in_force = max(self.in_force, in_force)
-        working = [entry for entry in self.entries if entry.lease.is_valid(now)]
-        for entry in working:
+        entries_with_lease = [
+            entry for entry in self.entries if entry.lease.is_valid(now)
+        ]
+        for entry in entries_with_lease:
             assert entry.view.revision >= self.in_force
-        shares = [1 / entry.view.fleet.max_entries for entry in working]
+        shares = [1 / entry.view.fleet.max_entries for entry in entries_with_lease]
         assert sum(shares) <= 1 + 1e-9
         revisions = [entry.view.revision for entry in self.entries]
         assert all(new >= old for new, old in zip(revisions, self.revisions))
@@ -177,7 +181,7 @@
 
 STEPS = st.tuples(
     st.sampled_from(
-        "change send answer deliver exchange exchange exchange advance elect".split()
+        "change send respond deliver exchange exchange exchange advance elect".split()
     ),
     st.integers(0, 2),
 )
@@ -186,7 +190,7 @@
 LATE_RESPONSE = [
     ("exchange", 0),
     ("send", 0),
-    ("answer", 0),
+    ("respond", 0),
     ("advance", 2),
     ("deliver", 0),
     ("change", 1),
@@ -197,10 +201,10 @@
 @given(st.lists(STEPS, min_size=5, max_size=60))
 @example(LATE_RESPONSE)
 def test_in_force_holds_for_every_entry_with_a_lease(steps):
-    """Guards against in force while a working entry has an older revision.
+    """Guards against ``in_force`` while an entry with a lease has an older revision.
 
-    Also against a revision that falls, and entries whose shares of a budget exceed
-    the whole. A response holds two records, so that configurations come in parts.
+    Also against a revision that decreases, and entries whose shares of a budget exceed
+    the total. A response holds two records, so configurations span several responses.
     """
 
     async def main():
--- a/properties/test_decoders.py
+++ b/properties/test_decoders.py
@@ -1,4 +1,4 @@
-"""Decoders of bytes from outside: only their declared errors, whatever comes."""
+"""Decoders of external input raise only their declared errors, whatever the bytes."""
 
 import json
 import string
@@ -42,32 +42,32 @@
 )
 
 
-def _paths(value, path=()):
-    """Return the path of each place in a document."""
+def _value_paths(value, path=()):
+    """Yield the path of each value in a document."""
     yield path
     items = value.items() if isinstance(value, dict) else ()
     items = enumerate(value) if isinstance(value, list) else items
     for key, inner in items:
-        yield from _paths(inner, (*path, key))
+        yield from _value_paths(inner, (*path, key))
 
 
-def _replaced(document, path, value):
+def _with_value_at(document, path, value):
     if not path:
         return value
-    copied = json.loads(json.dumps(document))
-    place = copied
+    copy = json.loads(json.dumps(document))
+    container = copy
     for key in path[:-1]:
-        place = place[key]
-    place[path[-1]] = value
-    return copied
+        container = container[key]
+    container[path[-1]] = value
+    return copy
 
 
-@given(st.sampled_from(list(_paths(CONFIGURATION))), VALUES)
+@given(st.sampled_from(list(_value_paths(CONFIGURATION))), VALUES)
 @example(("services", 0, "maxConns"), float("inf"))
 @example(("hosts", 0, "paths", 0, "targetLatencyMs"), float("nan"))
-def test_configuration_with_any_value_in_any_place(path, value):
-    """Guards against a configuration that stops a replica or an entry."""
-    document = _replaced(CONFIGURATION, path, value)
+def test_configuration_with_any_value_at_any_path(path, value):
+    """Guards against a configuration that crashes a replica or an entry."""
+    document = _with_value_at(CONFIGURATION, path, value)
     try:
         configuration = decode_configuration(json.dumps(document))
     except DocumentError:
@@ -77,11 +77,11 @@
             assert all(part.service in configuration.services for part in route.parts)
 
 
-@given(st.sampled_from(list(_paths(ANNOUNCEMENT))), VALUES)
-def test_announcement_with_any_value_in_any_place(path, value):
-    """Guards against an announcement that is taken though a field isn't usable, and
-    against one that can't be told on the feeds."""
-    document = _replaced(ANNOUNCEMENT, path, value)
+@given(st.sampled_from(list(_value_paths(ANNOUNCEMENT))), VALUES)
+def test_announcement_with_any_value_at_any_path(path, value):
+    """Guards against accepting an announcement with an unusable field, and against
+    one that can't be sent on the feeds."""
+    document = _with_value_at(ANNOUNCEMENT, path, value)
     try:
         announcement = decode_announcement("i-1", json.dumps(document).encode())
     except DocumentError:
@@ -91,8 +91,8 @@
 
 
 @given(st.binary(max_size=60))
-def test_documents_of_any_bytes(data):
-    """Guards against bytes that raise what their reader doesn't expect."""
+def test_documents_of_arbitrary_bytes(data):
+    """Guards against bytes that raise an exception the caller doesn't handle."""
     for decode, errors in (
         (lambda: decode_announcement("i-1", data), DocumentError),
         (lambda: decode_configuration(data.decode("latin-1")), DocumentError),
@@ -117,10 +117,10 @@
 }
 
 
-@given(st.sampled_from(list(_paths(SETTINGS))), VALUES)
-def test_settings_with_any_value_in_any_place(path, value):
-    """Guards against a settings file that ends a process without saying which field."""
-    fields = _replaced(SETTINGS, path, value)
+@given(st.sampled_from(list(_value_paths(SETTINGS))), VALUES)
+def test_settings_with_any_value_at_any_path(path, value):
+    """Guards against a settings file that ends a process without naming the field."""
+    fields = _with_value_at(SETTINGS, path, value)
     if isinstance(fields, dict):
         try:
             parse_settings(fields)
@@ -128,7 +128,7 @@
             pass
 
 
-ORDERS = {
+REPLICATED_STATE = {
     "index": 5,
     "version": 0,
     "document": "",
@@ -138,10 +138,10 @@
 }
 
 
-@given(st.sampled_from(list(_paths(ORDERS))), VALUES)
-def test_orders_with_any_value_in_any_place(path, value):
-    """Guards against a line of a feed that ends the task which reads it."""
-    fields = _replaced(ORDERS, path, value)
+@given(st.sampled_from(list(_value_paths(REPLICATED_STATE))), VALUES)
+def test_replicated_state_with_any_value_at_any_path(path, value):
+    """Guards against a line of a feed that ends the task that reads it."""
+    fields = _with_value_at(REPLICATED_STATE, path, value)
     if isinstance(fields, dict):
         try:
             Orders().merged(fields)
@@ -149,7 +149,7 @@
             pass
 
 
-PIECES = st.sampled_from(
+RESPONSE_PIECES = st.sampled_from(
     [
         b"HTTP/1.1 200 OK\r\n",
         b"HTTP/1.1 100 Continue\r\n\r\n",
@@ -170,10 +170,10 @@
 )
 
 
-@given(st.lists(PIECES, max_size=8), st.booleans())
-def test_answer_reader_agrees_with_the_parser_on_what_is_whole(pieces, is_split):
-    """Guards against a part of an answer that counts as whole, and against an answer
-    that the reader ends at another place than the parser."""
+@given(st.lists(RESPONSE_PIECES, max_size=8), st.booleans())
+def test_response_reader_agrees_with_the_parser_on_complete_responses(pieces, is_split):
+    """Guards against an incomplete response that is accepted as complete, and against
+    a response that the reader ends at a different byte than the parser."""
     data = b"".join(pieces)
 
     async def main():
@@ -198,16 +198,16 @@
         return received, is_clean
 
     received, is_clean = curio.run(main)
-    expected, rest = _parsed(data)
+    expected, remaining = _parse_response(data)
     if isinstance(received, Response):
         assert (received.status, received.body) == expected
-        assert not (rest and is_clean)
+        assert not (remaining and is_clean)
     else:
         assert expected is None
 
 
-def _parsed(data):
-    """Return status and body by the parser alone, and the bytes that follow."""
+def _parse_response(data):
+    """Return the status and body as h11 parses them, and the bytes that follow."""
     parser = h11.Connection(h11.CLIENT)
     parser.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
     parser.send(h11.EndOfMessage())
@@ -251,9 +251,9 @@
 
 
 @given(st.lists(REQUEST_PIECES, max_size=8))
-def test_each_request_that_is_handled_gets_one_answer_in_order(pieces):
-    """Guards against requests that are handled twice, or answered out of turn, by
-    whatever stands between them."""
+def test_each_handled_request_gets_one_response_in_order(pieces):
+    """Guards against requests that are handled twice or get responses out of order,
+    whatever bytes lie between them."""
     handled = []
 
     async def main():
@@ -270,8 +270,8 @@
             await sock.sendall(b"".join(pieces))
             await sock.shutdown(curio.socket.SHUT_WR)
             async with curio.timeout_after(3):
-                while piece := await sock.recv(65536):
-                    data += piece
+                while chunk := await sock.recv(65536):
+                    data += chunk
         except OSError:
             pass
         await sock.close()
@@ -281,6 +281,6 @@
         return data
 
     data = curio.run(main)
-    n_answers = data.count(b"HTTP/1.1 200")
-    # A bad request behind others is answered after them, with an error.
-    assert n_answers == len(handled)
+    n_responses = data.count(b"HTTP/1.1 200")
+    # A bad request after others gets an error response after theirs.
+    assert n_responses == len(handled)
--- a/properties/test_membership.py
+++ b/properties/test_membership.py
@@ -1,4 +1,4 @@
-"""Properties of the endpoint table under any order, delay and repetition."""
+"""Properties of the endpoint table when messages are reordered, delayed or repeated."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -40,7 +40,7 @@
 
 @given(endpoints, endpoints, endpoints)
 def test_merge_does_not_depend_on_the_order(a, b, c):
-    """Guards against tables that stay different after the same messages."""
+    """Guards against tables that don't converge after the same messages."""
     assert merge_endpoints(a, b) == merge_endpoints(b, a)
     assert merge_endpoints(a, merge_endpoints(b, c)) == merge_endpoints(
         merge_endpoints(a, b), c
@@ -49,9 +49,9 @@
 
 
 @given(st.data(), st.lists(endpoints, max_size=8), st.integers(1, 3))
-def test_left_incarnation_never_serves_again(data, messages, incarnation):
-    """Guards against a leaving server that gets new work whatever the order, delay
-    or repetition of messages, the heartbeats and the expiry in between."""
+def test_departed_incarnation_never_serves_again(data, messages, incarnation):
+    """Guards against new work for a leaving server, for any order, delay and
+    repetition of messages, heartbeats and expiry."""
     table = EndpointTable()
     notice = LeaveNotice(SERVICE, "10.0.0.1", 1000, incarnation)
     leave = make_endpoint(port=1000, incarnation=incarnation, is_leaving=True)
@@ -74,8 +74,8 @@
         assert not (has_left and incarnation in serving)
 
 
-def exchange(left, right, now):
-    """Run one digest exchange as entry.gossip does."""
+def exchange_digests(left, right, now):
+    """Perform one digest exchange as entry.gossip does."""
     digest = left.digest()
     right.renew(digest, now)
     difference = right.difference(digest, now, max_entries=4)
@@ -91,7 +91,7 @@
     st.randoms(use_true_random=False),
 )
 def test_all_tables_converge(messages, random):
-    """Guards against entries that keep different views of the endpoints."""
+    """Guards against entries whose views of the endpoints stay different."""
     tables = [EndpointTable() for _ in range(4)]
     reference = EndpointTable()
     now = Instant(10.0)
@@ -99,12 +99,12 @@
         tables[index].merge(endpoint, now)
         reference.merge(endpoint, now)
         if random.random() < 0.3:
-            exchange(*random.sample(tables, 2), now)
+            exchange_digests(*random.sample(tables, 2), now)
     for _ in range(8):
         for left in tables:
             for right in tables:
                 if left is not right:
-                    exchange(left, right, now)
+                    exchange_digests(left, right, now)
     for table in tables:
         assert table.digest() == reference.digest()
         for _, endpoint in messages:
--- a/properties/test_warming.py
+++ b/properties/test_warming.py
@@ -1,9 +1,9 @@
-"""The load on a cold server with several entries, lagging directories and kills.
+"""The load on a cold server with several entries, stale directories and kills.
 
 The model has a control leader with leases, entries that renew at any time, and a
-server that can handle one request more for each step of successful responses. The
-lease rule holds: the leader removes an entry only after its lease has ended, and an
-entry without a lease starts no request.
+server that can handle one more concurrent request after each step of successful
+responses. The lease rule holds: the leader removes an entry only after its lease has
+expired, and an entry without a lease starts no request.
 """
 
 from random import Random
@@ -25,7 +25,7 @@
 
 
 class Entry:
-    """An entry with its lease, its view of the directory and its requests."""
+    """An entry with its lease, its copy of the directory and its requests in flight."""
 
     def __init__(self, entry_id):
         self.id = entry_id
@@ -33,7 +33,7 @@
         self.directory = None
         self.lease_until = 0.0
         self.is_running = True
-        self.ends = []
+        self.end_times = []
 
     def limit(self, now):
         if not self.is_running or now >= self.lease_until or not self.directory:
@@ -53,7 +53,7 @@
         self.is_warm = False
 
     def renew(self, entry, sent_ago_ms):
-        """Renew a lease; the entry counts it from when it sent the request."""
+        """Renew a lease; the entry's lease starts when it sent the request."""
         if not entry.is_running:
             return
         self.remove_expired()
@@ -61,37 +61,37 @@
             self.revision += 1
         self.leases[entry.id] = self.now + LEASE_MS
         entry.lease_until = self.now - sent_ago_ms + LEASE_MS
-        known = entry.directory
-        if known is None or known.revision != self.revision:
+        known_directory = entry.directory
+        if known_directory is None or known_directory.revision != self.revision:
             members = tuple(sorted(self.leases))
             entry.directory = Directory(self.revision, self.now, members)
 
     def remove_expired(self):
-        ended = [key for key, until in self.leases.items() if until <= self.now]
-        for key in ended:
+        expired_ids = [key for key, until in self.leases.items() if until <= self.now]
+        for key in expired_ids:
             del self.leases[key]
-        self.revision += bool(ended)
+        self.revision += bool(expired_ids)
 
     def restart(self, index):
-        """Kill an entry, or start one anew; its requests go on at the server."""
-        old = self.entries[index]
-        if old.is_running:
-            old.is_running = False
+        """Kill or restart an entry; its requests continue at the server."""
+        old_entry = self.entries[index]
+        if old_entry.is_running:
+            old_entry.is_running = False
             return
         entry = Entry(f"e{index}-{self.revision}")
-        entry.ends = old.ends
+        entry.end_times = old_entry.end_times
         self.entries[index] = entry
 
     def start_requests(self, entry, durations_ms):
         for duration_ms in durations_ms:
-            if len(entry.ends) < entry.limit(self.now):
-                entry.ends.append(self.now + duration_ms)
+            if len(entry.end_times) < entry.limit(self.now):
+                entry.end_times.append(self.now + duration_ms)
 
     def advance(self, duration_ms):
         self.now = Instant(self.now + duration_ms)
         for entry in self.entries:
-            n_ended = sum(end <= self.now for end in entry.ends)
-            entry.ends = [end for end in entry.ends if end > self.now]
+            n_ended = sum(end <= self.now for end in entry.end_times)
+            entry.end_times = [end for end in entry.end_times if end > self.now]
             for _ in range(n_ended):
                 self.n_successes += 1
                 if entry.is_running:
@@ -101,7 +101,7 @@
                     self.is_warm |= change is not None
 
     def capacity(self):
-        """Return what the server can handle after the responses it has given."""
+        """Return the concurrency the server can handle after its responses so far."""
         slots, needed = SPEC.cold_slots, 0
         while True:
             needed += SUCCESSES_PER_SLOT * slots
@@ -110,7 +110,7 @@
             slots += 1
 
     def check(self):
-        in_flight = sum(len(entry.ends) for entry in self.entries)
+        in_flight = sum(len(entry.end_times) for entry in self.entries)
         limits = sum(entry.limit(self.now) for entry in self.entries)
         assert in_flight <= self.capacity()
         assert limits <= self.capacity()
@@ -127,7 +127,7 @@
 )
 
 
-def run(fleet, steps):
+def run_steps(fleet, steps):
     for kind, index, argument in steps:
         if kind == "advance":
             fleet.advance(argument)
@@ -143,23 +143,25 @@
 
 
 @given(st.lists(actions, max_size=120))
-def test_cold_server_never_gets_more_than_it_can_handle(steps):
-    """Guards against two owners at once, and against an owner whose requests go on
-    after its lease."""
-    run(Fleet(4), steps)
+def test_cold_server_never_exceeds_its_capacity(steps):
+    """Guards against two owners at the same time, and against requests of an owner
+    that continue after its lease."""
+    run_steps(Fleet(4), steps)
 
 
 @given(st.integers(0, 1 << 32))
 def test_busy_fleet_with_kills_never_overloads_a_cold_server(seed):
-    """Guards against the same under steady load, where every entry always sends as
-    much as it may and entries renew with different lags."""
+    """Guards against overload of a cold server under steady load, where every entry
+    always sends as much as its limit permits and entries renew at different rates."""
     random = Random(seed)
     fleet = Fleet(4)
-    # Some entries renew only just before their lease ends, and see changes late.
-    renewals = [random.choice([0.02, 0.1, 0.3]) for _ in fleet.entries]
+    # Some entries renew shortly before their lease expires, and so get changes late.
+    renewal_probabilities = [random.choice([0.02, 0.1, 0.3]) for _ in fleet.entries]
     for _ in range(300):
-        for entry, renewal in zip(fleet.entries, renewals, strict=True):
-            if random.random() < renewal:
+        for entry, probability in zip(
+            fleet.entries, renewal_probabilities, strict=True
+        ):
+            if random.random() < probability:
                 fleet.renew(entry, random.choice([0.0, 200.0]))
             fleet.start_requests(entry, [random.choice([20.0, 300.0, 1000.0])] * 4)
         if random.random() < 0.02:
