--- a/pollenfold/tests/storage/test_agreement.py
+++ b/pollenfold/tests/storage/test_agreement.py
@@ -108,7 +108,7 @@
 
 
 def test_joined_replica_without_its_log_is_refused(tmp_path):
-    """Guards against a replica that votes anew after its log was removed."""
+    """Guards against a replica that votes again after its log was removed."""
     storage = AgreementStorage(tmp_path, "a")
     for action in ACTIONS[:2]:
         storage.persist(action)
