--- a/pollenfold/core/agreement_members.py
+++ b/pollenfold/core/agreement_members.py
@@ -122,8 +122,8 @@
     """Return the next change of the voters and its reason, or None.
 
     A leader changes the voters only when the previous change is committed and so is
-    an entry of its own term. In this order: add a learner if there are fewer voters
-    than ``n_target``; remove an earlier disk of a learner's machine; remove an
+    an entry of its own term. In this order: remove an earlier disk of a learner's
+    machine; add a learner if there are fewer voters than ``n_target``; remove an
     unresponsive voter if a learner waits to replace it. Only learners that hold
     nearly the complete log are considered.
     """
