--- a/pollenfold/http/caller.py
+++ b/pollenfold/http/caller.py
@@ -1,8 +1,9 @@
-"""One caller's connection: requests are read, handled and answered in their order.
+"""One caller's connection, with HTTP/1.1 pipelining.
 
-A caller may send further requests before the first is answered. Those that may run
-beside others do so, up to a bound; their answers still leave in the order of the
-requests. After an answer that closes the connection nothing else is read or run.
+A caller may send further requests before the first response. Those that allow
+concurrency are handled concurrently, up to a bound; responses are always sent in the
+order of the requests. After a response that closes the connection, no further request
+is read or handled.
 """
 
 from __future__ import annotations
@@ -25,20 +26,20 @@
 from .request_reader import RequestError, RequestReader, ServerLimits
 
 Handler = Callable[[Request], Awaitable[Response | None]]
-"""Answers a request; None closes the connection without an answer."""
+"""Returns the response to a request; None closes the connection without a response."""
 
 OnRejected = Callable[[ErrorKind, str, str], None]
-"""Is told kind, detail and peer of each request that can't reach the handler, or that
-ends it with an unexpected error."""
+"""Called with kind, detail and peer of each request that can't reach the handler, or
+for which the handler raises an unexpected error."""
 
-MAX_READ_AHEAD = 8
-"""How many requests of one connection may wait for their answers."""
+MAX_PIPELINED_REQUESTS = 8
+"""The most requests of one connection that may be pending at the same time."""
 
 LINGER_MS = 500.0
-"""How long a closing connection still takes in what its caller is sending.
+"""How long a closing connection still reads and discards what its caller is sending.
 
-A close with unread bytes resets the connection, and the reset may reach the caller
-before the answer does."""
+Closing a socket with unread bytes resets the connection, and the reset may reach the
+caller before the response does."""
 
 MAX_LINGER_BYTES = 4 << 20
 
@@ -48,8 +49,8 @@
 
 
 @dataclass(slots=True)
-class Traffic:
-    """What all connections of one server share."""
+class SharedState:
+    """State shared by all connections of one server."""
 
     handler: Handler
     runs_beside_others: Callable[[Request], bool]
@@ -62,44 +63,48 @@
 
 @dataclass(slots=True, eq=False)
 class _Exchange:
-    """One request with what is needed to answer it in its turn."""
+    """One pending request with what is needed to send its response in order."""
 
     parser: h11.Connection
     reader: RequestReader
     request: Request
     task: curio.Task | None = None
-    is_answered: curio.Event = field(default_factory=curio.Event)
+    is_done: curio.Event = field(default_factory=curio.Event)
 
 
 class CallerConnection:
     """One connection of a caller.
 
-    ``is_busy`` is true from the head of a request until its answer is written.
+    ``is_busy`` is true from the head of a request until its response is written.
     """
 
     def __init__(
-        self, client: socket.socket, peer: str, traffic: Traffic, limits: ServerLimits
+        self,
+        client: socket.socket,
+        peer: str,
+        shared: SharedState,
+        limits: ServerLimits,
     ) -> None:
         self._client = client
         self._peer = peer
-        self._traffic = traffic
+        self._shared = shared
         self._limits = limits
         self._waiting: deque[_Exchange] = deque()
         self._is_reading_request = False
         self._is_closing = False
-        self._lingers = False
+        self._should_linger = False
         self._task: curio.Task | None = None
         self._n_requests = 0
         self._idle_since = system_clock()
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request is being read, handled or answered."""
+        """Whether a request is being read or handled, or its response written."""
         return self._is_reading_request or bool(self._waiting)
 
     @property
     def is_new(self) -> bool:
-        """Whether no request came yet, though one may be on its way."""
+        """Whether no complete request was received yet; one may be in transit."""
         return self._n_requests == 0
 
     async def serve(self) -> None:
@@ -107,35 +112,35 @@
         self._task = await curio.current_task()
         try:
             async with self._client:
-                await self._read_until_the_end()
+                await self._read_until_closed()
                 while self._waiting and not self._is_closing:
-                    await self._waiting[0].is_answered.wait()
-                if self._lingers:
+                    await self._waiting[0].is_done.wait()
+                if self._should_linger:
                     await self._linger()
         except (OSError, h11.LocalProtocolError):
             return
         finally:
             for exchange in list(self._waiting):
-                await self._abandon(exchange)
+                await self._cancel_exchange(exchange)
 
-    async def end_idle(self) -> None:
-        """End the connection unless a request is in it or about to be read."""
+    async def close_if_idle(self) -> None:
+        """Close the connection unless a request is pending or has bytes to read."""
         if not self.is_busy and not is_readable(self._client.fileno()):
-            # Not read any further: a request that crosses the close stays unread, and
-            # its caller may send it again.
+            # Reading stops here: a request that crosses the close stays unread, so its
+            # caller may safely retry it.
             self._is_closing = True
             await self._client.shutdown(socket.SHUT_RD)
 
     # Reading
 
-    async def _read_until_the_end(self) -> None:
-        """Read requests until the caller ends the connection, or an answer does."""
+    async def _read_until_closed(self) -> None:
+        """Read requests until the caller or a response closes the connection."""
         try:
             await self._serve_requests()
-            # A cancellation that came while this task was about to run is still due.
+            # Deliver a cancellation that arrived while this task was ready to run.
             await curio.sleep(0)
         except curio.TaskCancelled:
-            # Another task wrote the answer that closes, and ended the reading.
+            # Another task wrote the closing response and cancelled the reading.
             if not self._is_closing:
                 raise
 
@@ -146,10 +151,10 @@
                 self._client,
                 parser,
                 self._limits,
-                self._traffic.budget,
-                self._traffic.window_bytes,
+                self._shared.budget,
+                self._shared.window_bytes,
                 self._idle_left_ms,
-                self._note_head,
+                self._on_request_head,
                 self._continue_sender(parser),
             )
             try:
@@ -165,8 +170,8 @@
             self._waiting.append(exchange)
             self._is_reading_request = False
             self._n_requests += 1
-            self._traffic.n_in_flight += 1
-            if not await self._start(exchange):
+            self._shared.n_in_flight += 1
+            if not await self._dispatch(exchange):
                 return
             parser = self._new_parser(parser.trailing_data[0])
 
@@ -179,13 +184,13 @@
         return parser
 
     def _idle_left_ms(self) -> float:
-        """Return how long the connection may stay idle, all of it while it isn't."""
+        """Return the remaining idle time, the full timeout if requests are pending."""
         limit_ms = self._limits.idle_timeout_ms
         if self._waiting:
             return limit_ms
         return remaining_ms(add_ms(self._idle_since, limit_ms), system_clock())
 
-    def _note_head(self) -> None:
+    def _on_request_head(self) -> None:
         self._is_reading_request = True
 
     def _continue_sender(self, parser: h11.Connection) -> Callable[[], Awaitable[None]]:
@@ -196,126 +201,129 @@
 
         return send_continue
 
-    async def _start(self, exchange: _Exchange) -> bool:
-        """Handle a request, now or beside others; return whether to read on."""
+    async def _dispatch(self, exchange: _Exchange) -> bool:
+        """Handle a request, inline or concurrently; return whether to read on."""
         request = exchange.request
         is_last = exchange.parser.their_state is not h11.DONE
-        may_overtake = request.read_rest is None and not is_last
-        if may_overtake and self._traffic.runs_beside_others(request):
-            exchange.task = await curio.spawn(self._answer, exchange, daemon=True)
-            while len(self._waiting) >= MAX_READ_AHEAD:
-                await self._waiting[0].is_answered.wait()
+        can_run_concurrently = request.read_rest is None and not is_last
+        if can_run_concurrently and self._shared.runs_beside_others(request):
+            exchange.task = await curio.spawn(self._respond, exchange, daemon=True)
+            while len(self._waiting) >= MAX_PIPELINED_REQUESTS:
+                await self._waiting[0].is_done.wait()
             return not self._is_closing
         for earlier in list(self._waiting)[:-1]:
-            await earlier.is_answered.wait()
+            await earlier.is_done.wait()
         if self._is_closing:
             return False
-        await self._answer(exchange)
+        await self._respond(exchange)
         return not self._is_closing
 
-    # Answering
+    # Responding
 
-    async def _answer(self, exchange: _Exchange) -> None:
-        """Handle a request and write its answer when its turn comes."""
+    async def _respond(self, exchange: _Exchange) -> None:
+        """Handle a request and write its response once all earlier ones are written."""
         response = await self._handle(exchange.request)
         try:
             await self._wait_for_turn(exchange)
             if not self._is_closing:
-                await self._write_in_turn(exchange, response)
+                await self._send_response(exchange, response)
         except (OSError, h11.LocalProtocolError):
-            await self._end(exchange)
+            await self._close_after(exchange)
         except BodyError:
-            # A reset can't be taken for the end of a whole answer.
+            # The caller can't mistake a reset for the end of a complete response.
             self._client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-            await self._end(exchange, lingers=False)
+            await self._close_after(exchange, should_linger=False)
         finally:
             if response is not None and response.rest is not None:
                 await response.rest.close()
 
     async def _handle(self, request: Request) -> Response | None:
-        """Return the handler's response; an error in it promises nothing.
+        """Return the handler's response, or an internal error if the handler raises.
 
-        Otherwise the task of a request that runs beside others would end unseen, its
-        caller would wait in vain, and a planned stop for the request.
+        An exception that escaped would end the task of a concurrent request unnoticed:
+        its caller would never get a response, and a planned stop would wait for the
+        request.
         """
         try:
-            return await self._traffic.handler(request)
+            return await self._shared.handler(request)
         except Exception as error:
             kind = ErrorKind.INTERNAL_ERROR
-            self._traffic.on_rejected(kind, repr(error), self._peer)
+            self._shared.on_rejected(kind, repr(error), self._peer)
             response = error_response(kind)
             response.close = True
             return response
 
     async def _wait_for_turn(self, exchange: _Exchange | None) -> None:
-        """Wait until all requests before this one are answered."""
+        """Wait until the responses to all earlier requests are written."""
         while self._waiting and self._waiting[0] is not exchange:
-            await self._waiting[0].is_answered.wait()
+            await self._waiting[0].is_done.wait()
 
-    async def _write_in_turn(
+    async def _send_response(
         self, exchange: _Exchange, response: Response | None
     ) -> None:
         if response is None:
-            await self._end(exchange)
+            await self._close_after(exchange)
             return
         if exchange.request.method == b"HEAD":
             response.body = b""
         is_last = exchange.parser.their_state is not h11.DONE
-        has_successor = len(self._waiting) > 1 or self._is_reading_request
-        if is_last or (self._traffic.is_stopping and not has_successor):
+        has_next_request = len(self._waiting) > 1 or self._is_reading_request
+        if is_last or (self._shared.is_stopping and not has_next_request):
             response.close = True
         if self._limits.announced_idle_s and not response.close:
             value = b"timeout=%d" % self._limits.announced_idle_s
             response.headers.append((b"keep-alive", value))
         await self._write(exchange.parser, response)
         if response.close or exchange.parser.our_state is not h11.DONE:
-            await self._end(exchange)
+            await self._close_after(exchange)
             return
         await self._finish(exchange)
 
     async def _finish(self, exchange: _Exchange) -> None:
-        """Let the next request have its turn."""
+        """Let the response to the next request be written."""
         self._idle_since = system_clock()
-        await self._leave_queue(exchange)
+        await self._dequeue(exchange)
 
-    async def _leave_queue(self, exchange: _Exchange) -> None:
+    async def _dequeue(self, exchange: _Exchange) -> None:
         if exchange not in self._waiting:
             return
         self._waiting.remove(exchange)
-        self._traffic.n_in_flight -= 1
+        self._shared.n_in_flight -= 1
         await exchange.reader.release()
-        await exchange.is_answered.set()
+        await exchange.is_done.set()
 
-    async def _end(self, exchange: _Exchange, lingers: bool = True) -> None:
-        """Close after this request; what stands behind it isn't run any further."""
+    async def _close_after(
+        self, exchange: _Exchange, should_linger: bool = True
+    ) -> None:
+        """Close the connection after this request and cancel all later ones."""
         self._is_closing = True
-        self._lingers = lingers
+        self._should_linger = should_linger
         if exchange.task is not None and self._task is not None:
-            # Ends the reading of further requests. Shutting the receiving half would
-            # do so as well, but reset the connection when more bytes come.
+            # Stops reading further requests. Shutting down the receiving half would do
+            # so as well, but would reset the connection when more bytes arrive.
             await self._task.cancel(blocking=False)
         for later in list(self._waiting):
             if later is not exchange:
-                await self._abandon(later)
+                await self._cancel_exchange(later)
         await self._finish(exchange)
 
-    async def _abandon(self, exchange: _Exchange) -> None:
-        """Give up a request whose answer nobody can get any more."""
+    async def _cancel_exchange(self, exchange: _Exchange) -> None:
+        """Cancel a request whose response can't be delivered any more."""
         if exchange.task is not None:
             await exchange.task.cancel(blocking=False)
-        await self._leave_queue(exchange)
+        await self._dequeue(exchange)
 
     async def _reject(self, parser: h11.Connection, error: RequestError) -> None:
-        """Answer a request that can't reach the handler, in its turn."""
-        self._traffic.on_rejected(error.kind, error.detail, self._peer)
+        """Send the error response for a request that can't reach the handler."""
+        self._shared.on_rejected(error.kind, error.detail, self._peer)
         await self._wait_for_turn(None)
         if self._is_closing:
             return
-        # An earlier whole request with the same key may have run.
+        # An earlier complete request with the same key may have been executed.
         state = RunState.OUTCOME_UNKNOWN.value if error.has_key else None
         response = error_response(error.kind, error.detail, run_state=state)
         response.close = True
-        self._is_closing = self._lingers = True
+        self._is_closing = self._should_linger = True
         await self._write(parser, response)
 
     async def _write(self, parser: h11.Connection, response: Response) -> None:
@@ -324,7 +332,7 @@
             headers.append((b"connection", b"close"))
         rest = response.rest
         length = len(response.body) if rest is None else rest.length
-        # Without a length the parser sends chunks, or closes for an old caller.
+        # Without a length, h11 uses chunked encoding, or closes for HTTP/1.0 callers.
         if response.status not in _STATUS_WITHOUT_BODY and length is not None:
             headers.append((b"content-length", b"%d" % length))
         head = h11.Response(status_code=response.status, headers=headers)
@@ -342,7 +350,7 @@
         await self._client.sendall(data)
 
     async def _linger(self) -> None:
-        """Say that no more answers follow, and take in what is still on its way."""
+        """Shut down the sending half, then read and discard what is in transit."""
         await self._client.shutdown(socket.SHUT_WR)
         n_bytes = 0
         async with curio.ignore_after(LINGER_MS / 1000):
--- a/pollenfold/http/client.py
+++ b/pollenfold/http/client.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to a server, for one exchange at a time."""
+"""An HTTP/1.1 client connection that carries one exchange at a time."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 READ_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 16 << 20
-"""A longer response is refused, so that one server can't exhaust the memory."""
+"""A longer response fails the exchange, so one server can't exhaust the memory."""
 
 
 class ExchangeFailure(Enum):
-    """How far an exchange had come when it failed."""
+    """The stage at which an exchange failed."""
 
     NOT_SENT = "not_sent"
     """No byte of the request was written to the connection."""
 
     NO_RESPONSE = "no_response"
-    """The request was written at least in part; no response byte came."""
+    """At least part of the request was written; no response byte was received."""
 
     BAD_RESPONSE = "bad_response"
     """The response was malformed, truncated or too long."""
 
     TIMEOUT = "timeout"
-    """The time to wait passed; ``receive`` may be called again to go on waiting."""
+    """The timeout passed; ``receive`` may be called again to continue waiting."""
 
 
 class HttpConnection:
-    """A connection on which one request follows another.
+    """A persistent connection for consecutive exchanges.
 
-    ``n_exchanges`` counts the requests sent. After an exchange ``reusable`` says
-    whether both sides completed it. Only such a connection may carry another request;
+    ``n_exchanges`` counts the requests sent. After an exchange, ``reusable`` is true
+    if both sides completed it. Only such a connection may carry another request;
     any other must be closed, because a late response on it could reach the next caller.
     """
 
@@ -86,7 +86,7 @@
         body: bytes,
         timeout_ms: float = 60_000,
     ) -> Result[Response, ExchangeFailure]:
-        """Send one request and read its whole response."""
+        """Send one request and read its complete response."""
         failure = await self.send(method, target, headers, body)
         if failure is not None:
             return Error(failure)
@@ -107,11 +107,11 @@
         self._n_body_bytes = 0
         self._has_response_bytes = False
         connection = self._connection
-        framed = headers
+        framed_headers = headers
         if body or method not in (b"GET", b"HEAD"):
-            framed = [*headers, (b"content-length", b"%d" % len(body))]
+            framed_headers = [*headers, (b"content-length", b"%d" % len(body))]
         data = connection.send(
-            h11.Request(method=method, target=target, headers=framed)
+            h11.Request(method=method, target=target, headers=framed_headers)
         )
         if body:
             data += connection.send(h11.Data(data=body))
@@ -119,14 +119,14 @@
         return await self._write(data)
 
     async def receive(self, timeout_ms: float) -> Result[Response, ExchangeFailure]:
-        """Read the response as ``wait`` does, for callers off the call path."""
+        """Read the response as ``wait`` does, for code outside the call path."""
         response = await self.wait(timeout_ms)
         return Ok(response) if isinstance(response, Response) else Error(response)
 
     async def wait(self, timeout_ms: float) -> Response | ExchangeFailure:
-        """Read the response to the request that was sent, or go on reading it.
+        """Read the response to the request that was sent, or continue reading it.
 
-        ``TIMEOUT`` leaves the exchange open, so that the call may be repeated. The
+        ``TIMEOUT`` leaves the exchange open, so the call may be repeated. The
         call path uses this method because building a Result costs as much there as
         selecting a backend server.
         """
@@ -190,7 +190,7 @@
         if not is_bodiless and not _is_framed(head):
             return ExchangeFailure.BAD_RESPONSE
         if connection.our_state is h11.DONE and connection.their_state is h11.DONE:
-            # Bytes that follow a complete response belong to no request.
+            # Surplus bytes after a complete response make the connection unusable.
             if not connection.trailing_data[0]:
                 connection.start_next_cycle()
                 self.reusable = True
@@ -198,6 +198,6 @@
 
 
 def _is_framed(head: h11.Response) -> bool:
-    """Return whether the end of the body can be told from a broken connection."""
+    """Return whether the end of the body differs from a broken connection."""
     names = {name for name, _ in head.headers}
     return b"content-length" in names or b"transfer-encoding" in names
--- a/pollenfold/http/listener.py
+++ b/pollenfold/http/listener.py
@@ -1,4 +1,4 @@
-"""Opens the listening socket of a server before the rest of it is loaded."""
+"""Opens the listening socket of a server before its other modules are loaded."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 def open_listener(host: str, port: int) -> socket.socket:
-    """Return a listening socket; raise OSError when the address is taken.
+    """Return a listening socket; raise OSError when the address is in use.
 
-    Connections that arrive from now on wait for the server. While a process loads its
-    modules, for half a second on a small VM, they would be refused otherwise, and each
-    refusal costs a caller one of its few attempts.
+    Connections that arrive from now on wait in the backlog. Loading the modules takes
+    half a second on a small VM; without a listener, connections would be refused
+    during that time, and each refusal costs a caller one of its few attempts.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
--- a/pollenfold/http/memory.py
+++ b/pollenfold/http/memory.py
@@ -1,4 +1,4 @@
-"""A bound on the bytes that all connections of a process hold at the same time."""
+"""A bound on the bytes that all connections of a server hold at the same time."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class MemoryBudget:
-    """Bytes that may be reserved; who asks for more than is left waits its turn.
+    """A byte budget with reservations, granted first come, first served.
 
-    A reservation is given whole or not at all, so two that each hold a part can't wait
-    for one another. One that is larger than the whole budget gets all of it.
+    A reservation is granted completely or not at all, so two partial reservations
+    can't deadlock. One that exceeds the budget gets the entire budget.
     """
 
     def __init__(self, n_bytes: int) -> None:
-        self._n_all = n_bytes
+        self._n_total = n_bytes
         self._n_free = n_bytes
-        self._waiting: deque[tuple[int, curio.Event]] = deque()
+        self._waiters: deque[tuple[int, curio.Event]] = deque()
 
     @property
     def n_free_bytes(self) -> int:
@@ -26,30 +26,30 @@
 
     async def reserve(self, n_bytes: int) -> int:
         """Wait for the bytes; return how many to release."""
-        n_bytes = min(n_bytes, self._n_all)
-        if not self._waiting and n_bytes <= self._n_free:
+        n_bytes = min(n_bytes, self._n_total)
+        if not self._waiters and n_bytes <= self._n_free:
             self._n_free -= n_bytes
             return n_bytes
-        turn = (n_bytes, curio.Event())
-        self._waiting.append(turn)
+        waiter = (n_bytes, curio.Event())
+        self._waiters.append(waiter)
         try:
-            await turn[1].wait()
+            await waiter[1].wait()
         except BaseException:
-            if turn in self._waiting:
-                self._waiting.remove(turn)
+            if waiter in self._waiters:
+                self._waiters.remove(waiter)
             else:
                 self._n_free += n_bytes
-            await self._wake()
+            await self._grant_waiting()
             raise
         return n_bytes
 
     async def release(self, n_bytes: int) -> None:
-        """Give bytes back, which lets waiting ones in."""
+        """Return bytes to the budget and grant the reservations that fit now."""
         self._n_free += n_bytes
-        await self._wake()
+        await self._grant_waiting()
 
-    async def _wake(self) -> None:
-        while self._waiting and self._waiting[0][0] <= self._n_free:
-            n_bytes, event = self._waiting.popleft()
+    async def _grant_waiting(self) -> None:
+        while self._waiters and self._waiters[0][0] <= self._n_free:
+            n_bytes, event = self._waiters.popleft()
             self._n_free -= n_bytes
             await event.set()
--- a/pollenfold/http/messages.py
+++ b/pollenfold/http/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses as the handlers see them."""
+"""HTTP requests and responses as passed to and from handlers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         b"upgrade",
     )
 )
-"""Headers that concern one connection only and are not passed on."""
+"""Headers that apply to one connection only and are not forwarded."""
 
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
@@ -40,7 +40,7 @@
 
 
 class BodyError(Exception):
-    """The rest of a request's body can't be read; ``kind`` tells why."""
+    """The remaining body can't be read; ``kind`` is the reason."""
 
     def __init__(self, kind: ErrorKind, detail: str = "") -> None:
         super().__init__(detail)
@@ -52,12 +52,12 @@
     """One request.
 
     ``peer`` is the address of the caller. ``descriptor`` is that of the caller's
-    socket, to notice that the caller closed it; -1 stands for none. ``received_at`` is
-    when its head was read: the caller's time runs while the body arrives.
+    socket, used to detect that the caller closed it, or -1. ``received_at`` is when the
+    head was read, since the caller's deadline already counts while the body arrives.
 
-    ``body`` is complete unless ``read_rest`` is set: a short body that ended early
-    never reaches a handler. Of a long body it is the first part, and each call of
-    ``read_rest`` returns the next one, nothing at the end, or raises BodyError.
+    ``body`` is complete unless ``read_rest`` is set; a truncated short body never
+    reaches a handler. For a long body it is the first part, and each call of
+    ``read_rest`` returns the next part, ``b""`` at the end, or raises BodyError.
     """
 
     method: bytes
@@ -81,11 +81,11 @@
 
 @dataclass(slots=True)
 class BodySource:
-    """The rest of a response's body, which is still arriving.
+    """The part of a response's body that is still arriving.
 
-    ``read`` returns the next part, nothing at the end, or raises BodyError when the
-    body broke off. ``close`` must be awaited once, whether it was read to its end or
-    not. ``length`` is that of the whole body where it is known.
+    ``read`` returns the next part, ``b""`` at the end, or raises BodyError when the
+    body is truncated. ``close`` must be awaited once, whether the body was read to its
+    end or not. ``length`` is the length of the complete body, if known.
     """
 
     read: Callable[[], Awaitable[bytes]]
@@ -97,7 +97,7 @@
 class Response:
     """One response; ``close`` ends the connection after it.
 
-    ``body`` is whole unless ``rest`` gives what follows it.
+    ``body`` is complete unless ``rest`` is set, which provides the remaining body.
     """
 
     status: int
@@ -122,24 +122,23 @@
     run_state: str | None = None,
     retry_after_s: float | None = None,
 ) -> Response:
-    """Return the response of an error kind as the error table gives it.
+    """Return the response that the error table defines for an error kind.
 
-    ``retry_after_s`` replaces the time of the table where more is known.
-    ``run_state`` replaces the state of the table where the caller of this function
-    knows more, for example ``outcome_unknown`` for a key that an earlier request
-    may have used.
+    ``retry_after_s`` and ``run_state`` override the values of the table where the
+    calling code knows more, for example ``outcome_unknown`` for a key that an earlier
+    request may have used.
     """
-    answer = ERROR_TABLE[kind]
-    state = run_state or answer.run_state.value
+    definition = ERROR_TABLE[kind]
+    state = run_state or definition.run_state.value
     headers = [(b"pollenfold-run-state", state.encode())]
-    after_s = answer.retry_after_s if retry_after_s is None else retry_after_s
+    after_s = definition.retry_after_s if retry_after_s is None else retry_after_s
     if after_s is not None:
         headers.append((b"retry-after", f"{after_s:g}".encode()))
     body: dict[str, Any] = {
         "error": kind.value,
         "run_state": state,
-        "text": answer.text,
+        "text": definition.text,
     }
     if detail:
         body["detail"] = detail
-    return json_response(answer.status, body, headers)
+    return json_response(definition.status, body, headers)
--- a/pollenfold/http/pool.py
+++ b/pollenfold/http/pool.py
@@ -10,7 +10,7 @@
 class Pool:
     """Connections to one address.
 
-    ``limit`` bounds the open connections, idle and busy. ``acquire`` gives an idle
+    ``limit`` bounds the open connections, idle and busy. ``acquire`` returns an idle
     one or opens one; it raises OSError when the server can't be reached, and
     returns None when the limit is reached.
     """
@@ -44,7 +44,7 @@
             raise
 
     async def release(self, connection: HttpConnection) -> None:
-        """Take a connection back; close it unless both sides are complete."""
+        """Return a connection to the pool, or close it if it isn't reusable."""
         if connection.reusable:
             self._idle.append(connection)
             return
--- a/pollenfold/http/readiness.py
+++ b/pollenfold/http/readiness.py
@@ -6,9 +6,9 @@
 
 
 def is_readable(descriptor: int) -> bool:
-    """Return whether bytes, an end of stream or an error wait on the socket.
+    """Return whether bytes, an end of stream or an error are pending on the socket.
 
-    An idle connection of which this is true can't carry a request: the server closed
+    An idle client connection for which this is true can't be reused: the server closed
     it, or sent bytes that belong to no request.
     """
     poll = select.poll()
--- a/pollenfold/http/request_reader.py
+++ b/pollenfold/http/request_reader.py
@@ -1,8 +1,8 @@
-"""Reads one request of a caller: its head, the first part of its body, and the rest.
+"""Reads one request from a caller's connection: its head and its body.
 
-A body that fits into the window is read whole before the request is handled, so that
-it may be sent again. Of a longer one the handler gets the window and reads on itself,
-as fast as it passes the bytes on.
+A body that fits into the window is buffered completely before the request is handled,
+so that the request can be retried. Of a longer body, the handler gets the window and
+reads the remainder itself, at the pace at which it forwards the bytes.
 """
 
 from __future__ import annotations
@@ -21,29 +21,29 @@
 from .messages import BodyError, Request, find_header
 
 MAX_HEAD_BYTES = 16 * 1024
-"""Greatest request head; bounds the memory that one connection can claim."""
+"""The largest request head; bounds the memory that one connection can use."""
 
 READ_BYTES = 64 * 1024
-READS_PER_TURN = 4
-"""How often a body is read before other tasks have their turn."""
+READS_PER_YIELD = 4
+"""How many reads of a body are made before yielding to other tasks."""
 
 UNRESERVED_BYTES = 16 * 1024
-"""A body may take so much without a reservation, as most requests do."""
+"""Bodies up to this size, which most requests have, need no reservation."""
 
 BODY_WINDOW_BYTES = 128 * 1024
-"""How much of a body is read before the request is handled."""
+"""How much of a body is buffered before the request is handled."""
 
 BODY_BUDGET_BYTES = 4 << 20
-"""The windows of all connections together."""
+"""Memory limit for the body windows of all connections together."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """What a caller may send, and how long it may take.
+    """Size limits and timeouts for requests from callers.
 
     ``head_timeout_ms`` counts from the first byte of a request to the end of its head,
-    ``idle_timeout_ms`` while nothing arrives. ``announced_idle_s`` is the idle time
-    that responses name in ``Keep-Alive``; 0 leaves the header out.
+    ``idle_timeout_ms`` while nothing arrives. ``announced_idle_s`` is the idle timeout
+    that responses announce in ``Keep-Alive``; 0 omits the header.
     """
 
     body_bytes: int = 1 << 20
@@ -54,9 +54,9 @@
 
 
 class RequestError(Exception):
-    """A request that can't reach the handler, with the kind to answer.
+    """A request that can't reach the handler; ``kind`` selects the error response.
 
-    ``head`` is that of the request when it was read.
+    ``head`` is the request's head if it was read completely.
     """
 
     def __init__(
@@ -72,10 +72,10 @@
 class RequestReader:
     """Reads one request from a connection.
 
-    Of a body longer than ``window_bytes`` only so much is read before the request is
-    returned. ``parser`` is new for each request and holds the bytes that came after
-    the one before. ``on_head`` is called when the head is whole. ``idle_left_ms`` tells
-    how much longer the first byte may take.
+    Of a longer body, only ``window_bytes`` are read before the request is returned.
+    ``parser`` is new for each request and holds the bytes received after the previous
+    one. ``on_head`` is called when the head is complete. ``idle_left_ms`` returns how
+    much longer to wait for the first byte.
     """
 
     def __init__(
@@ -98,8 +98,8 @@
         self._on_head = on_head
         self._send_continue = send_continue
         self._head: h11.Request | None = None
-        self._head_until: float | None = None
-        self._head_at = Instant(0.0)
+        self._head_deadline_s: float | None = None
+        self._head_received_at = Instant(0.0)
         self._n_body_bytes = 0
         self._n_reserved = 0
         self._n_reads = 0
@@ -133,20 +133,20 @@
             b"".join(window),
             peer,
             self._client.fileno(),
-            self._head_at,
+            self._head_received_at,
         )
         if not self.is_body_read:
             request.read_rest = self._read_rest
         return request
 
     async def release(self) -> None:
-        """Give back the memory of the body."""
+        """Release the memory reserved for the body."""
         n_reserved, self._n_reserved = self._n_reserved, 0
         if n_reserved:
             await self._budget.release(n_reserved)
 
     async def _reserve(self, n_bytes: int) -> None:
-        """Wait for a part of the memory that all bodies share."""
+        """Reserve memory from the budget shared by all bodies, waiting if needed."""
         try:
             async with curio.timeout_after(self._limits.idle_timeout_ms / 1000):
                 self._n_reserved = await self._budget.reserve(n_bytes)
@@ -155,7 +155,7 @@
             raise RequestError(ErrorKind.QUEUE_FULL, detail, self._head) from None
 
     async def _read_rest(self) -> bytes:
-        """Return the next piece of a long body, or nothing at its end."""
+        """Return the next piece of a long body, or ``b""`` at its end."""
         try:
             return await self._read_piece()
         except RequestError as error:
@@ -168,22 +168,22 @@
             event = self._next_event()
             if type(event) is h11.Request:
                 self._head = event
-                self._head_at = system_clock()
+                self._head_received_at = system_clock()
                 _check_head(event, self._limits)
                 self._on_head()
                 return event
             if event is not h11.NEED_DATA:
                 return None
-            if self._head_until is None and self._parser.trailing_data[0]:
+            if self._head_deadline_s is None and self._parser.trailing_data[0]:
                 wait_s = self._limits.head_timeout_ms / 1000
-                self._head_until = await curio.clock() + wait_s
+                self._head_deadline_s = await curio.clock() + wait_s
             data = await self._receive_head_bytes()
             if data is None:
                 return None
             self._parser.receive_data(data)
 
     async def _read_piece(self) -> bytes:
-        """Return some bytes of the body, or nothing at its end."""
+        """Return the next piece of the body, or ``b""`` at its end."""
         while not self.is_body_read:
             event = self._next_event()
             if type(event) is h11.Data:
@@ -211,8 +211,8 @@
 
     async def _receive_head_bytes(self) -> bytes | None:
         """Return the next bytes, or None when an idle connection timed out."""
-        if self._head_until is not None:
-            wait_s = max(0.001, self._head_until - await curio.clock())
+        if self._head_deadline_s is not None:
+            wait_s = max(0.001, self._head_deadline_s - await curio.clock())
             try:
                 async with curio.timeout_after(wait_s):
                     return bytes(await self._client.recv(READ_BYTES))
@@ -225,8 +225,8 @@
 
     async def _receive_body_bytes(self) -> bytes:
         self._n_reads += 1
-        if self._n_reads % READS_PER_TURN == 0:
-            # A caller that sends without a pause must not keep the loop from others.
+        if self._n_reads % READS_PER_YIELD == 0:
+            # A caller that sends continuously must not starve other tasks.
             await curio.sleep(0)
         try:
             async with curio.timeout_after(self._limits.idle_timeout_ms / 1000):
@@ -236,10 +236,11 @@
 
 
 def _check_head(head: h11.Request, limits: ServerLimits) -> None:
-    """Refuse a head that is too large or has two framings.
+    """Raise RequestError for a head that is too large or has ambiguous framing.
 
-    The parser bounds only a head that comes in several pieces. Two framings may be
-    read differently by two readers.
+    h11 bounds only a head that arrives in several pieces. Two HTTP implementations may
+    interpret a request with both content-length and transfer-encoding differently,
+    which allows request smuggling.
     """
     n_bytes = sum(len(name) + len(value) for name, value in head.headers)
     if n_bytes + len(head.target) > limits.head_bytes:
@@ -250,7 +251,7 @@
         raise RequestError(ErrorKind.BAD_REQUEST, detail, head)
     length = find_header(list(head.headers), b"content-length")
     if length is not None and int(length) > limits.body_bytes:
-        # Known at once, so the caller needn't send a body that is refused.
+        # Fail before the body, so the caller needn't send one that is rejected.
         raise RequestError(ErrorKind.BODY_TOO_LARGE, f"{int(length)} bytes", head)
 
 
--- a/pollenfold/http/retry_after.py
+++ b/pollenfold/http/retry_after.py
@@ -1,43 +1,43 @@
-"""How long a backend server wants nothing after it turned a request away.
+"""Parses the back-off that a backend server requests with Retry-After.
 
-An overloaded server may say when to come back. Work that is sent sooner only adds to
-its load, questions for its load as well. A value that can't be read asks for nothing,
-and one past a bound doesn't take the server out for ever.
+An overloaded server may announce when to retry. Requests and load probes that are sent
+earlier only add to its load. An invalid value means no back-off, and long values are
+bounded, so that a wrong one doesn't exclude the server for ever.
 """
 
 from __future__ import annotations
 
 import math
 
-MAX_REST_MS = 60_000.0
-REST_SPREAD = 0.1
-"""The share by which a rest is lengthened at most, so that not all entries that were
-turned away at one moment come back at one moment."""
+MAX_BACKOFF_MS = 60_000.0
+BACKOFF_SPREAD = 0.1
+"""The largest share by which a back-off is extended, so that entries refused at the
+same moment don't all retry at the same moment."""
 
 MAX_SECONDS_LENGTH = 32
 DATE_FORMAT = "%a, %d %b %Y %H:%M:%S GMT"
 
 
 def parse_rest_ms(value: bytes, date: bytes | None) -> float | None:
-    """Return the ms that a Retry-After header asks for, or None for no time.
+    """Return the back-off in ms that a Retry-After header requests, or None.
 
-    ``value`` holds seconds, with or without a fraction, or a date. A date counts from
-    ``date``, the one of the same answer, since clocks differ. For example, ``1.5``
-    gives 1500, and ``-1`` or ``soon`` None.
+    ``value`` holds seconds, with or without a fraction, or a date. A date is relative
+    to ``date``, the Date header of the same response, since clocks differ. For example,
+    ``1.5`` gives 1500, and ``-1`` or ``soon`` None.
     """
     seconds = _seconds(value)
     if seconds is None and date is not None:
-        until, sent_at = _unix_s(value), _unix_s(date)
-        if until is not None and sent_at is not None:
-            seconds = until - sent_at
+        retry_at, sent_at = _unix_s(value), _unix_s(date)
+        if retry_at is not None and sent_at is not None:
+            seconds = retry_at - sent_at
     if seconds is None or seconds <= 0.0:
         return None
-    return min(1000.0 * seconds, MAX_REST_MS)
+    return min(1000.0 * seconds, MAX_BACKOFF_MS)
 
 
-def spread_rest_ms(rest_ms: float, position: float) -> float:
-    """Return when to come back; ``position`` between 0 and 1 spreads the entries."""
-    return rest_ms * (1.0 + REST_SPREAD * position)
+def spread_rest_ms(backoff_ms: float, position: float) -> float:
+    """Return the extended back-off; ``position``, from 0 to 1, differs by entry."""
+    return backoff_ms * (1.0 + BACKOFF_SPREAD * position)
 
 
 def _seconds(value: bytes) -> float | None:
@@ -51,7 +51,7 @@
 
 
 def _unix_s(value: bytes) -> float | None:
-    # Only loaded by a date, which servers seldom send: entries have little memory.
+    # Imported only for dates, which servers seldom send, to save memory in entries.
     import calendar
     import time
 
--- a/pollenfold/http/server.py
+++ b/pollenfold/http/server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server: listens, and stops without cutting requests off."""
+"""An HTTP/1.1 server that stops without aborting requests."""
 
 from __future__ import annotations
 
@@ -11,42 +11,43 @@
 from curio.io import Socket
 
 from ..core.errors import ErrorKind
-from .caller import CallerConnection, Handler, OnRejected, Traffic
+from .caller import CallerConnection, Handler, OnRejected, SharedState
 from .listener import open_listener
 from .memory import MemoryBudget
 from .messages import Request
 from .request_reader import BODY_BUDGET_BYTES, ServerLimits
 
-WHOLE_BODY_BYTES = 64 << 20
-WHOLE_BUDGET_BYTES = 64 << 20
-"""A body that is read whole, and all of a server together, take at most so much."""
+MAX_BUFFERED_BODY_BYTES = 64 << 20
+BUFFERED_BODY_BUDGET_BYTES = 64 << 20
+"""Memory limits for one completely buffered body and for all bodies of a server."""
 
 READ_WAIT_MS = 2000.0
-"""How long a planned stop waits for the rest of a request that began to arrive."""
+"""How long a planned stop waits for a request that has arrived in part."""
 
 FIRST_REQUEST_WAIT_MS = 250.0
 """How long a planned stop waits for the first request of a connection.
 
-The caller opened it to send one, and has no other answer to go by than this one."""
+The caller opened it to send one, and had no earlier response on it that could announce
+the stop."""
 
 
 def _log_internal_error(kind: ErrorKind, detail: str, peer: str) -> None:
-    """Log what is a fault of this program; other rejections are the caller's."""
+    """Log internal errors; other rejections are caused by the caller."""
     if kind is ErrorKind.INTERNAL_ERROR:
         text = "event=request_rejected kind=%s detail=%r peer=%s"
         logging.getLogger(__name__).error(text, kind.value, detail, peer)
 
 
-def _never(request: Request) -> bool:
+def _never_concurrent(request: Request) -> bool:
     return False
 
 
 class HttpServer:
     """Serves one listening address.
 
-    A planned stop calls ``announce_stop``, which asks callers to leave with the last
-    response of their connection, then ``stop``, which closes the listener and the idle
-    connections, then ``wait_idle``, which returns when no request is in flight.
+    A planned stop calls ``announce_stop``, which sends ``Connection: close`` with the
+    last response of each connection, then ``stop``, which closes the listener and the
+    idle connections, then ``wait_idle``, which returns when no request is in flight.
     """
 
     connection_class = CallerConnection
@@ -57,25 +58,27 @@
         max_body_bytes: int = 1 << 20,
         limits: Callable[[], ServerLimits] | None = None,
         on_rejected: OnRejected = _log_internal_error,
-        runs_beside_others: Callable[[Request], bool] = _never,
+        runs_beside_others: Callable[[Request], bool] = _never_concurrent,
         window_bytes: int | None = None,
     ) -> None:
-        """Make a server; ``limits`` is asked anew for each connection.
+        """Create a server; ``limits`` is called for each connection.
 
-        With ``window_bytes`` the handler gets longer bodies in parts
-        (``Request.read_rest``); otherwise each body is read whole.
+        With ``window_bytes``, the handler gets longer bodies in parts
+        (``Request.read_rest``); otherwise each body is buffered completely.
 
-        ``runs_beside_others`` tells whether a request may run while earlier ones of
-        its connection do.
+        ``runs_beside_others`` returns whether a request may be handled concurrently
+        with earlier ones of its connection.
         """
-        fixed = ServerLimits(max_body_bytes)
-        self._limits = limits or (lambda: fixed)
-        self._traffic = Traffic(
+        default_limits = ServerLimits(max_body_bytes)
+        self._limits = limits or (lambda: default_limits)
+        self._traffic = SharedState(
             handler,
             runs_beside_others,
             on_rejected,
-            MemoryBudget(BODY_BUDGET_BYTES if window_bytes else WHOLE_BUDGET_BYTES),
-            window_bytes or WHOLE_BODY_BYTES,
+            MemoryBudget(
+                BODY_BUDGET_BYTES if window_bytes else BUFFERED_BODY_BUDGET_BYTES
+            ),
+            window_bytes or MAX_BUFFERED_BODY_BYTES,
         )
         self._connections: set[CallerConnection] = set()
         self._listener: curio.Task | None = None
@@ -83,50 +86,50 @@
 
     @property
     def n_in_flight(self) -> int:
-        """The number of requests that were read and not yet answered."""
+        """The number of requests that were read and whose response is pending."""
         return self._traffic.n_in_flight
 
     async def start(self, host: str, port: int) -> int:
-        """Listen on the address and return the port, useful with port 0."""
+        """Listen on the address and return the port, which the kernel chooses for 0."""
         return await self.start_on(open_listener(host, port))
 
     async def start_on(self, listener: sockets.socket) -> int:
-        """Serve a socket that listens already, and return its port."""
+        """Serve a socket that is already listening, and return its port."""
         self._listening = listener
         self._listener = await curio.spawn(self._accept, Socket(listener), daemon=True)
         return int(listener.getsockname()[1])
 
     def announce_stop(self) -> None:
-        """End each connection after its last response, and go on accepting."""
+        """Close each connection after its last response, and continue accepting."""
         self._traffic.is_stopping = True
 
     async def stop(self) -> None:
-        """Accept no more connections, and close those without a request.
+        """Close the listener and the connections without a request.
 
-        A connection that the kernel accepted already may carry a request, so it is
-        taken over first, and gets a moment for it.
+        A connection in the kernel's accept queue may carry a request, so it is
+        accepted first and given ``FIRST_REQUEST_WAIT_MS`` to send it.
         """
         self._traffic.is_stopping = True
         if self._listener is not None and self._listening is not None:
-            await self._accept_waiting(self._listening)
+            await self._accept_queued(self._listening)
             await self._listener.cancel()
             self._listening.close()
         for connection in list(self._connections):
             if connection.is_new:
-                await curio.spawn(self._end_new, connection, daemon=True)
+                await curio.spawn(self._close_new_if_idle, connection, daemon=True)
             else:
-                await connection.end_idle()
+                await connection.close_if_idle()
 
-    async def _end_new(self, connection: CallerConnection) -> None:
+    async def _close_new_if_idle(self, connection: CallerConnection) -> None:
         await curio.sleep(FIRST_REQUEST_WAIT_MS / 1000)
         if connection in self._connections:
-            await connection.end_idle()
+            await connection.close_if_idle()
 
     async def wait_idle(self) -> None:
         """Return when no request is in flight.
 
-        A request whose body is still arriving is waited for as well, but only for
-        ``READ_WAIT_MS``, so that a caller which stops sending can't hold up the stop.
+        A request that is still arriving is waited for as well, but only for
+        ``READ_WAIT_MS``, so that a caller that stops sending can't delay the stop.
         """
         async with curio.ignore_after(READ_WAIT_MS / 1000):
             while any(c.is_busy or c.is_new for c in self._connections):
@@ -138,26 +141,26 @@
         async with sock:
             while True:
                 client, address = await sock.accept()
-                await self._take_over(client, address[0])
+                await self._spawn_connection(client, address[0])
 
-    async def _accept_waiting(self, listening: sockets.socket) -> None:
-        """Take over the connections that wait in the kernel's queue."""
+    async def _accept_queued(self, listening: sockets.socket) -> None:
+        """Accept the connections that wait in the kernel's accept queue."""
         try:
             while True:
                 client, address = listening.accept()
                 client.setblocking(False)
-                await self._take_over(Socket(client), address[0])
+                await self._spawn_connection(Socket(client), address[0])
         except OSError:
-            # No more connections wait, or the socket is closed.
+            # The queue is empty, or the socket is closed.
             return
 
-    async def _take_over(self, client: Socket, peer: str) -> None:
+    async def _spawn_connection(self, client: Socket, peer: str) -> None:
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         await curio.spawn(self._serve, client, peer, daemon=True)
 
     async def _serve(self, client: Socket, peer: str) -> None:
-        make = self.connection_class
-        connection = make(client, peer, self._traffic, self._limits())
+        connection_class = self.connection_class
+        connection = connection_class(client, peer, self._traffic, self._limits())
         self._connections.add(connection)
         try:
             await connection.serve()
--- a/pollenfold/observe/__init__.py
+++ b/pollenfold/observe/__init__.py
@@ -1,1 +1,1 @@
-"""Clock of the process, logs, metrics and histograms."""
+"""Observability of a process: clock, logs, metrics, histograms and signals."""
--- a/pollenfold/observe/clock.py
+++ b/pollenfold/observe/clock.py
@@ -10,8 +10,8 @@
 def system_clock() -> Instant:
     """Return the time since the VM started, in milliseconds.
 
-    The clock goes on while the process is stopped by a signal and, unlike the steady
-    clock, while the VM is suspended, so a lease that ran out during that time is seen
-    as expired afterwards.
+    CLOCK_BOOTTIME advances while the process is stopped by a signal and, unlike
+    CLOCK_MONOTONIC, while the VM is suspended, so a lease that ran out meanwhile is
+    seen as expired afterwards.
     """
     return Instant(time.clock_gettime_ns(time.CLOCK_BOOTTIME) / 1e6)
--- a/pollenfold/observe/events.py
+++ b/pollenfold/observe/events.py
@@ -1,8 +1,8 @@
-"""Structured log lines on standard output, bounded and never blocking.
+"""Structured log lines on standard output, rate-limited and non-blocking.
 
-Lines are collected and written in pieces that a pipe takes whole, and only while the
-pipe is writable, so a reader that stopped reading can't stop the event loop. What
-doesn't fit is counted and dropped.
+Lines are buffered and written in chunks that a pipe accepts without blocking, and only
+while the pipe is writable, so a stalled log consumer can't block the event loop. Lines
+that exceed the buffer or the rate limits are dropped and counted.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 FLUSH_INTERVAL_MS = 100.0
 MAX_BUFFER_BYTES = 256 * 1024
-PIECE_BYTES = 4096
-"""A pipe that polls as writable takes this much without blocking (PIPE_BUF)."""
+MAX_WRITE_BYTES = 4096
+"""A pipe that polls as writable accepts this much without blocking (PIPE_BUF)."""
 
 LINES_PER_S = {"request": 100.0, "failure": 100.0, "state": 200.0}
 BURST_S = 5.0
 
 
 def _write_stdout(data: bytes) -> int:
-    """Write what standard output takes now; return the number of bytes."""
+    """Write to standard output without blocking; return the number of bytes."""
     poll = select.poll()
     poll.register(1, select.POLLOUT)
     if not poll.poll(0):
@@ -37,7 +37,7 @@
 
 
 def format_value(value: object) -> str:
-    """Return a value of a line, quoted when it isn't one plain word."""
+    """Return a value as log text, as a JSON string unless it is one plain word."""
     if isinstance(value, float):
         return f"{value:.1f}"
     text = str(value)
@@ -48,9 +48,9 @@
 class EventLog:
     """Writes one line of key=value pairs for each event.
 
-    Lines on requests that were served, on requests that failed and on what the
-    process believes are bounded separately, so that a burst of one kind can't hide
-    the others. For example, ``log.state("feed_lost", control="10.0.0.1")``.
+    Lines on successful requests, failed requests and state changes are rate-limited
+    separately, so that a burst of one kind can't displace the others. For
+    example, ``log.state("feed_lost", control="10.0.0.1")``.
     """
 
     def __init__(
@@ -71,25 +71,25 @@
         self.n_dropped = 0
 
     def state(self, event: str, **fields: object) -> None:
-        """Log a change of what this process believes, or a start, stop or reload."""
-        self._add("state", event, fields)
+        """Log a change of this process's state or view, or a start, stop or reload."""
+        self._log("state", event, fields)
 
     def request(self, event: str, is_failure: bool, **fields: object) -> None:
         """Log a decision on a request."""
-        self._add("failure" if is_failure else "request", event, fields)
+        self._log("failure" if is_failure else "request", event, fields)
 
-    def text(self, pairs: str) -> None:
-        """Log pairs that are already formatted, as a change of belief."""
-        if self._has_room("state"):
+    def preformatted(self, pairs: str) -> None:
+        """Log pairs that are already formatted, under the limit for state changes."""
+        if self._admit_line("state"):
             self._append(pairs)
 
-    def _add(self, bucket: str, event: str, fields: dict[str, object]) -> None:
-        if self._has_room(bucket):
+    def _log(self, bucket: str, event: str, fields: dict[str, object]) -> None:
+        if self._admit_line(bucket):
             pairs = " ".join(f"{k}={format_value(v)}" for k, v in fields.items())
             self._append(f"event={event} {pairs}".rstrip())
 
-    def _has_room(self, bucket: str) -> bool:
-        """Return whether a line may be added; report lines that were dropped."""
+    def _admit_line(self, bucket: str) -> bool:
+        """Apply the limits and return whether to add a line; log the dropped count."""
         is_full = len(self._buffer) > MAX_BUFFER_BYTES
         if is_full or not self._buckets[bucket].try_take(1.0, self._clock()):
             self.n_dropped += 1
@@ -106,12 +106,12 @@
         self._buffer += line.encode("utf-8", "replace") + b"\n"
 
     def flush(self) -> None:
-        """Write what standard output takes now."""
+        """Write as many buffered lines as the output accepts without blocking."""
         while self._buffer:
             try:
-                n_bytes = self._write(bytes(self._buffer[:PIECE_BYTES]))
+                n_bytes = self._write(bytes(self._buffer[:MAX_WRITE_BYTES]))
             except OSError:
-                # Nobody reads any more; the lines can only be dropped.
+                # The output is closed, so the buffered lines are lost.
                 self.n_dropped += self._buffer.count(b"\n")
                 self._buffer.clear()
                 return
--- a/pollenfold/observe/exposition.py
+++ b/pollenfold/observe/exposition.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms as text that common scrapers read."""
+"""Metrics in the Prometheus text exposition format."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         self._values[(name, tuple(labels.items()))] = value
 
     def get(self, name: str, **labels: str) -> float:
-        """Return the value of a counter or gauge; 0 when it was never set."""
+        """Return the value of a counter or gauge, or 0 if it was never set."""
         return self._values.get((name, tuple(labels.items())), 0.0)
 
     def observe(self, name: str, value_ms: float, **labels: str) -> None:
@@ -39,32 +39,32 @@
         key = (name, tuple(labels.items()))
         series = self._histograms.get(key)
         if series is None:
-            # A count for each bound, one beyond the last, then the sum.
+            # A count per bucket, one for the +Inf bucket, then the sum.
             series = [0.0] * (len(LATENCY_BOUNDS_MS) + 2)
             self._histograms[key] = series
         series[bisect_left(LATENCY_BOUNDS_MS, value_ms)] += 1
         series[-1] += value_ms
 
-    def text(self) -> str:
-        """Return all figures, one a line."""
+    def render(self) -> str:
+        """Return all metrics as text, one sample per line."""
         lines = [
-            f"{self._prefix}_{name}{_braces(labels)} {value:g}"
+            f"{self._prefix}_{name}{_format_labels(labels)} {value:g}"
             for (name, labels), value in self._values.items()
         ]
         for (name, labels), series in self._histograms.items():
-            full = f"{self._prefix}_{name}"
+            full_name = f"{self._prefix}_{name}"
             total = 0.0
             bounds = [str(bound) for bound in LATENCY_BOUNDS_MS] + ["+Inf"]
             for bound, n in zip(bounds, series, strict=False):
                 total += n
-                braces = _braces((*labels, ("le", bound)))
-                lines.append(f"{full}_bucket{braces} {total:g}")
-            lines.append(f"{full}_sum{_braces(labels)} {series[-1]:g}")
-            lines.append(f"{full}_count{_braces(labels)} {total:g}")
+                label_text = _format_labels((*labels, ("le", bound)))
+                lines.append(f"{full_name}_bucket{label_text} {total:g}")
+            lines.append(f"{full_name}_sum{_format_labels(labels)} {series[-1]:g}")
+            lines.append(f"{full_name}_count{_format_labels(labels)} {total:g}")
         return "\n".join(lines) + "\n"
 
 
-def _braces(labels: Labels) -> str:
+def _format_labels(labels: Labels) -> str:
     pairs = ",".join(f'{name}="{_escape(value)}"' for name, value in labels)
     return "{" + pairs + "}" if pairs else ""
 
--- a/pollenfold/observe/histograms.py
+++ b/pollenfold/observe/histograms.py
@@ -1,4 +1,4 @@
-"""Latency histograms for each tenant, service and class of requests."""
+"""Latency histograms by tenant, service and request class."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ..core.records import RequestClass, ServiceSpec
 
 _HIGHEST_US = 600_000_000
-_DIGITS = 2
+_SIGNIFICANT_DIGITS = 2
 PERCENTILES = (50.0, 99.0, 99.9)
 
 
@@ -17,15 +17,15 @@
     __slots__ = ("histogram", "n_by_status")
 
     def __init__(self) -> None:
-        self.histogram = HdrHistogram(1, _HIGHEST_US, _DIGITS)
+        self.histogram = HdrHistogram(1, _HIGHEST_US, _SIGNIFICANT_DIGITS)
         self.n_by_status: dict[int, int] = {}
 
 
 class Histograms:
     """Counts final responses by tenant, service and class.
 
-    Latencies are kept in microseconds with two digits, so a figure is within 1%.
-    For example, ``histograms.summary()`` gives one dict for each key, with
+    Latencies are stored in microseconds with two significant digits, that is within 1%.
+    For example, ``histograms.summary()`` returns one dict per key, with
     ``p50_ms``, ``p99_ms`` and ``p99.9_ms``.
     """
 
@@ -48,7 +48,7 @@
         series.n_by_status[status] = series.n_by_status.get(status, 0) + 1
 
     def summary(self) -> list[dict[str, object]]:
-        """Return the figures of each key, for the status of the entry."""
+        """Return counts and percentiles for each key, for the status of the entry."""
         rows: list[dict[str, object]] = []
         for (tenant, service, request_class), series in self._series.items():
             row: dict[str, object] = {
--- a/pollenfold/observe/logs.py
+++ b/pollenfold/observe/logs.py
@@ -25,6 +25,6 @@
 
 
 def forward_logs(log: EventLog) -> None:
-    """Write what shared modules log as lines of the bounded event log."""
+    """Forward loguru messages of shared modules to the rate-limited event log."""
     logger.remove()
-    logger.add(lambda message: log.text(message.rstrip()), format="{message}")
+    logger.add(lambda message: log.preformatted(message.rstrip()), format="{message}")
--- a/pollenfold/observe/metrics.py
+++ b/pollenfold/observe/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics for statsd, sent once a second and never from the call path."""
+"""Metrics for statsd, sent once a second outside the call path."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 class MetricsSender:
     """Sends gauges to a statsd server over UDP.
 
-    ``collect`` returns the gauges by name; a lost datagram is not noticed.
+    ``collect`` returns the gauges by name. Lost datagrams are not detected.
     """
 
     def __init__(
--- a/pollenfold/observe/service.py
+++ b/pollenfold/observe/service.py
@@ -1,4 +1,4 @@
-"""What every daemon of the platform does beside its work: reload, metrics, its end."""
+"""Functions common to all daemons: settings reload, metrics and termination."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def reload_settings(
     reload: Callable[[], None], seeds: Callable[[], list[str]], log: EventLog
 ) -> None:
-    """Read the settings anew; settings that can't be used change nothing."""
+    """Reload the settings; invalid settings are logged and leave the old in force."""
     try:
         reload()
     except ValueError as error:
@@ -24,17 +24,17 @@
 
 
 def metrics_response(metrics: Metrics, log: EventLog) -> Response:
-    """Return the figures as text."""
+    """Return all metrics in the text exposition format."""
     metrics.set("log_lines_dropped_total", log.n_dropped)
-    text = metrics.text().encode()
+    text = metrics.render().encode()
     return Response(200, [(b"content-type", b"text/plain")], text)
 
 
 async def wait_for_end(group: curio.TaskGroup, stop: curio.Task, log: EventLog) -> None:
-    """Return when the task ``stop`` ended; raise what ended another one."""
+    """Wait until the task ``stop`` ends; raise if another task ends first."""
     first_done = await group.next_done()
     if first_done is stop:
         return
     log.state("task_failed", task=first_done.name)
     log.flush()
-    raise first_done.exception or RuntimeError("a task ended too early")
+    raise first_done.exception or RuntimeError("a task ended without an error")
--- a/pollenfold/observe/signals.py
+++ b/pollenfold/observe/signals.py
@@ -1,4 +1,4 @@
-"""Waits for the signal that stops a daemon."""
+"""Handles the signals that stop a daemon or reload its settings."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 def _ignore(number: int, frame: FrameType | None) -> None:
-    """Do nothing: the wake-up socket carries the signal number."""
+    """Do nothing: the wakeup socket carries the signal number."""
 
 
 def ignore_stop_signals() -> None:
-    """Let a planned stop take its time when it is asked for again, or to reload."""
+    """Ignore further stop and reload signals, so that a planned stop can complete."""
     for number in (*STOP_SIGNALS, RELOAD_SIGNAL):
         signal.signal(number, signal.SIG_IGN)
 
 
 async def wait_for_stop(on_reload: Callable[[], None] | None = None) -> str:
-    """Return the name of the signal when the process is told to stop.
+    """Wait for a signal to stop and return its name.
 
-    From then on signals to stop or to reload are ignored, so that a planned stop which
-    is asked for twice isn't cut off. ``on_reload`` is called at each SIGHUP; without it
-    that signal keeps its effect.
+    From then on, stop and reload signals are ignored, so that a repeated signal doesn't
+    abort a planned stop. ``on_reload`` is called at each SIGHUP; without it, that
+    signal keeps its previous handler.
 
     The interpreter writes the number of each signal to a socket, so the event loop
-    wakes at once and no handler runs in the middle of other code.
+    wakes immediately and no handler interrupts other code.
     """
     receiver, sender = sockets.socketpair()
     sender.setblocking(False)
@@ -40,9 +40,9 @@
     handlers = {number: signal.signal(number, _ignore) for number in numbers}
     is_stopping = False
     try:
-        async with io.Socket(receiver) as reader:
+        async with io.Socket(receiver) as wakeup_socket:
             while True:
-                for number in await reader.recv(16):
+                for number in await wakeup_socket.recv(16):
                     if number in STOP_SIGNALS:
                         is_stopping = True
                         return signal.Signals(number).name
@@ -50,7 +50,8 @@
                         on_reload()
     finally:
         if is_stopping:
-            # Before anything else runs: the default would end the process at once.
+            # Set before any other code runs: with the default handlers, a second signal
+            # would end the process immediately.
             ignore_stop_signals()
         else:
             for number, handler in handlers.items():
--- a/pollenfold/tests/http/test_limits.py
+++ b/pollenfold/tests/http/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits on what a caller may send, and how long it may take."""
+"""Size limits and timeouts for requests from callers."""
 
 import curio
 import pytest
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def exchange(run):
-    """Return a function that sends pieces with pauses and returns all that came."""
+    """Return a function that sends pieces with pauses and returns what it received."""
 
     def run_exchange(*pieces, pause_s=0.0):
         async def main():
@@ -72,33 +72,33 @@
     ],
 )
 def test_bad_request_is_refused(exchange, request_bytes, status):
-    """Guards against requests that two readers understand differently, and against
-    callers that claim all memory."""
+    """Guards against request smuggling by ambiguous framing, and against callers that
+    exhaust the memory."""
     received, rejected = exchange(request_bytes)
     assert received.startswith(b"HTTP/1.1 " + status)
     assert len(rejected) == 1
 
 
-def test_head_that_is_not_whole_in_time_ends_its_connection(exchange):
-    """Guards against slow callers that hold connections for ever."""
+def test_head_incomplete_at_the_timeout_ends_its_connection(exchange):
+    """Guards against slow callers that keep connections open for ever."""
     received, rejected = exchange(HEAD)
     assert received.startswith(b"HTTP/1.1 408")
     assert rejected[0][0].value == "slow_request"
 
 
 def test_head_that_comes_byte_by_byte_ends_its_connection(exchange):
-    """Guards against a caller that keeps a connection with one byte at a time."""
+    """Guards against a head timeout that restarts with each received byte."""
     received, _ = exchange(*(HEAD[k : k + 1] for k in range(20)), pause_s=0.03)
     assert received.startswith(b"HTTP/1.1 408")
 
 
-def test_idle_connection_is_closed_without_an_answer(exchange):
-    """Guards against bytes on a connection on which nobody asked."""
+def test_idle_connection_is_closed_without_a_response(exchange):
+    """Guards against a response on a connection without a request."""
     received, rejected = exchange()
     assert (received, rejected) == (b"", [])
 
 
-def test_kept_connection_tells_its_idle_time(exchange):
-    """Guards against callers that send on a connection that closes just then."""
+def test_keep_alive_header_announces_the_idle_timeout(exchange):
+    """Guards against callers that reuse a connection while the server closes it."""
     received, _ = exchange(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
     assert b"keep-alive: timeout=15" in received.lower()
--- a/pollenfold/tests/http/test_pipeline.py
+++ b/pollenfold/tests/http/test_pipeline.py
@@ -1,10 +1,10 @@
-"""Several requests on one connection before the first answer, and planned stops."""
+"""Pipelined requests on one connection, and planned stops."""
 
 import curio
 import pytest
 
 from pollenfold.core.errors import ErrorKind
-from pollenfold.http.caller import MAX_READ_AHEAD
+from pollenfold.http.caller import MAX_PIPELINED_REQUESTS
 from pollenfold.http.messages import Response
 from pollenfold.http.server import HttpServer
 
@@ -13,15 +13,15 @@
 
 
 class Service:
-    """A server whose GET requests run beside others, each until its name is let go."""
+    """A server that handles GET requests concurrently; gates hold requests by name."""
 
     def __init__(self):
         self.started = []
         self.finished = []
-        self.n_most = 0
+        self.max_concurrent = 0
         self.gates = {}
-        self.closing = set()
-        self.broken = set()
+        self.closes_after = set()
+        self.failing = set()
         self.rejected = []
         self.server = HttpServer(
             self.handle,
@@ -33,15 +33,15 @@
         name = request.path[1:]
         self.started.append(name)
         running = len(self.started) - len(self.finished)
-        self.n_most = max(self.n_most, running)
+        self.max_concurrent = max(self.max_concurrent, running)
         try:
             if name in self.gates:
                 await self.gates[name].wait()
-            if name in self.broken:
+            if name in self.failing:
                 raise KeyError(name)
         finally:
             self.finished.append(name)
-        return Response(200, [], name.encode(), name in self.closing)
+        return Response(200, [], name.encode(), name in self.closes_after)
 
     def hold(self, *names):
         self.gates |= {name: curio.Event() for name in names}
@@ -52,14 +52,14 @@
         return await curio.open_connection("127.0.0.1", self.port)
 
 
-async def until(condition):
+async def wait_until(condition):
     async with curio.timeout_after(5):
         while not condition():
             await curio.sleep(0.005)
 
 
 async def read_all(sock):
-    """Return the bodies of all answers until the end, and the bytes."""
+    """Read to the end of the stream; return the response bodies and the raw bytes."""
     data = b""
     async with curio.timeout_after(5):
         while piece := await sock.recv(65536):
@@ -68,18 +68,18 @@
     return [part.split(b"\r\n\r\n", 1)[1].decode() for part in parts], data
 
 
-def test_requests_run_beside_each_other_and_are_answered_in_order(run):
-    """Guards against a quick request that waits for a slow one to end, and against
-    answers that leave in another order than their requests."""
+def test_concurrent_requests_get_their_responses_in_order(run):
+    """Guards against a fast request that waits for a slow one to complete, and against
+    responses that are sent in another order than their requests."""
 
     async def main():
         service = Service()
         service.hold("a", "c")
         sock = await service.connect()
         await sock.sendall(b"".join(GET % name for name in (b"a", b"b", b"c")))
-        await until(lambda: service.started == ["a", "b", "c"])
+        await wait_until(lambda: service.started == ["a", "b", "c"])
         await service.gates["c"].set()
-        await until(lambda: set(service.finished) == {"b", "c"})
+        await wait_until(lambda: set(service.finished) == {"b", "c"})
         await service.gates["a"].set()
         await sock.shutdown(curio.socket.SHUT_WR)
         assert (await read_all(sock))[0] == ["a", "b", "c"]
@@ -87,17 +87,17 @@
     run(main)
 
 
-def test_request_that_may_run_once_runs_alone(run):
-    """Guards against an order that overtakes, or is run behind an answer that ends
-    the connection."""
+def test_non_idempotent_request_runs_alone(run):
+    """Guards against a non-idempotent request that runs before an earlier request is
+    complete, or after a response that closes the connection."""
 
     async def main():
         service = Service()
         service.hold("a")
-        service.closing = {"b"}
+        service.closes_after = {"b"}
         sock = await service.connect()
         await sock.sendall(GET % b"a" + POST % b"b" + POST % b"c" + GET % b"d")
-        await until(lambda: service.started == ["a"])
+        await wait_until(lambda: service.started == ["a"])
         await curio.sleep(0.05)
         assert service.started == ["a"]
         await service.gates["a"].set()
@@ -107,35 +107,35 @@
     run(main)
 
 
-def test_what_stands_behind_a_closing_answer_is_ended(run):
-    """Guards against work for requests that the caller sends again elsewhere."""
+def test_requests_after_a_closing_response_are_cancelled(run):
+    """Guards against work on requests that the caller retries elsewhere."""
 
     async def main():
         service = Service()
         service.hold("b")
-        service.closing = {"a"}
+        service.closes_after = {"a"}
         sock = await service.connect()
         await sock.sendall(GET % b"a" + GET % b"b")
         bodies, data = await read_all(sock)
         assert bodies == ["a"]
         assert b"connection: close" in data.lower()
-        await until(lambda: service.server.n_in_flight == 0)
+        await wait_until(lambda: service.server.n_in_flight == 0)
 
     run(main)
 
 
-def test_reading_ahead_is_bounded(run):
-    """Guards against a caller that claims all memory with one connection."""
+def test_pipelined_requests_are_bounded(run):
+    """Guards against a caller that exhausts the memory with one connection."""
 
     async def main():
         service = Service()
-        names = [b"n%d" % n for n in range(4 * MAX_READ_AHEAD)]
+        names = [b"n%d" % n for n in range(4 * MAX_PIPELINED_REQUESTS)]
         service.hold(*(name.decode() for name in names))
         sock = await service.connect()
         await sock.sendall(b"".join(GET % name for name in names))
-        await until(lambda: len(service.started) >= MAX_READ_AHEAD)
+        await wait_until(lambda: len(service.started) >= MAX_PIPELINED_REQUESTS)
         await curio.sleep(0.05)
-        assert service.n_most <= MAX_READ_AHEAD
+        assert service.max_concurrent <= MAX_PIPELINED_REQUESTS
         for name in names:
             await service.gates[name.decode()].set()
         await sock.shutdown(curio.socket.SHUT_WR)
@@ -144,15 +144,15 @@
     run(main)
 
 
-def test_stop_answers_what_was_read_and_marks_the_last_answer(run):
-    """Guards against a planned stop that cuts off requests on one connection."""
+def test_stop_completes_read_requests_and_marks_the_last_response(run):
+    """Guards against a planned stop that aborts pipelined requests."""
 
     async def main():
         service = Service()
         service.hold("a", "b")
         sock = await service.connect()
         await sock.sendall(GET % b"a" + GET % b"b")
-        await until(lambda: service.started == ["a", "b"])
+        await wait_until(lambda: service.started == ["a", "b"])
         service.server.announce_stop()
         stop = await curio.spawn(service.server.stop)
         await service.gates["b"].set()
@@ -167,8 +167,8 @@
 
 
 def test_stop_serves_a_connection_that_was_just_accepted(run):
-    """Guards against a planned stop that resets connections which the kernel accepted
-    and the server didn't take over yet, or whose first request is on its way."""
+    """Guards against a planned stop that resets connections in the kernel's accept
+    queue, or connections whose first request is in transit."""
 
     async def main():
         service = Service()
@@ -189,8 +189,8 @@
     run(main)
 
 
-def test_answer_arrives_though_the_caller_still_sends(run):
-    """Guards against a reset that overtakes the answer to a refused request."""
+def test_response_arrives_while_the_caller_still_sends(run):
+    """Guards against a reset that precedes the response to a rejected request."""
 
     async def main():
         service = Service()
@@ -205,8 +205,8 @@
     run(main)
 
 
-def test_last_answer_of_a_stop_arrives_though_the_caller_sends_more(run):
-    """Guards against a reset that overtakes the last answer of a planned stop."""
+def test_last_response_of_a_stop_arrives_while_the_caller_sends_more(run):
+    """Guards against a reset that precedes the last response of a planned stop."""
 
     async def main():
         for _ in range(20):
@@ -214,10 +214,10 @@
             service.hold("a")
             sock = await service.connect()
             await sock.sendall(GET % b"a")
-            await until(lambda: service.started == ["a"])  # noqa: B023
+            await wait_until(lambda: service.started == ["a"])  # noqa: B023
             service.server.announce_stop()
             await service.gates["a"].set()
-            # The caller doesn't know yet that the connection ends.
+            # The caller hasn't received the closing response yet.
             for _ in range(3):
                 await sock.sendall(GET % b"late")
                 await curio.sleep(0.005)
@@ -230,13 +230,13 @@
 
 
 @pytest.mark.parametrize("method", [GET, POST])
-def test_unexpected_error_of_the_handler_is_answered_and_counted(run, method):
-    """Guards against a caller that waits in vain, and a planned stop that waits out
-    its grace, for a request whose task ended with an error."""
+def test_unexpected_handler_error_gets_a_response_and_is_counted(run, method):
+    """Guards against a request whose task ended with an error, so that its caller never
+    gets a response and a planned stop waits for its entire grace period."""
 
     async def main():
         service = Service()
-        service.broken.add("b")
+        service.failing.add("b")
         sock = await service.connect()
         async with sock:
             await sock.sendall(GET % b"a" + method % b"b" + POST % b"c")
--- a/pollenfold/tests/http/test_request_reader.py
+++ b/pollenfold/tests/http/test_request_reader.py
@@ -1,4 +1,4 @@
-"""Reading one request of a caller."""
+"""Reading one request from a connection, and the memory budget for bodies."""
 
 import curio
 import h11
@@ -8,7 +8,7 @@
 
 
 class FastClient:
-    """A caller whose bytes are always there, so that reading never waits."""
+    """A caller whose bytes are always available, so that reading never waits."""
 
     def __init__(self, n_bytes):
         head = b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: %d\r\n\r\n" % n_bytes
@@ -21,8 +21,8 @@
         return -1
 
 
-def test_caller_that_never_pauses_leaves_others_their_turn(run):
-    """Guards against a long body on a fast link that holds up all other work."""
+def test_continuous_sender_does_not_starve_other_tasks(run):
+    """Guards against a long body on a fast link that blocks the event loop."""
     n_pieces = 100
 
     async def main():
@@ -56,25 +56,25 @@
     run(main)
 
 
-def test_memory_is_given_whole_and_in_turn(run):
-    """Guards against bodies that each hold a part and wait for one another, and
-    against a large one that small ones overtake for ever."""
+def test_memory_is_granted_completely_and_in_order(run):
+    """Guards against a deadlock of bodies that each hold a partial reservation, and
+    against small reservations that starve a large one."""
 
     async def main():
         budget = MemoryBudget(100)
         assert await budget.reserve(60) == 60
-        given = []
+        granted = []
 
-        async def take(name, n_bytes):
-            given.append((name, await budget.reserve(n_bytes)))
+        async def reserve(name, n_bytes):
+            granted.append((name, await budget.reserve(n_bytes)))
 
-        large = await curio.spawn(take, "large", 500)
-        small = await curio.spawn(take, "small", 10)
+        large = await curio.spawn(reserve, "large", 500)
+        small = await curio.spawn(reserve, "small", 10)
         await curio.sleep(0.01)
-        assert given == []
+        assert granted == []
         await budget.release(60)
         await large.join()
-        assert given == [("large", 100)]
+        assert granted == [("large", 100)]
         await small.cancel()
         await budget.release(100)
         assert budget.n_free_bytes == 100
--- a/pollenfold/tests/http/test_server.py
+++ b/pollenfold/tests/http/test_server.py
@@ -60,16 +60,16 @@
     ],
 )
 def test_bad_request_gets_one_error_kind(run, data, status, error):
-    """Guards against bad input that is forwarded, hangs or stops the process."""
+    """Guards against bad input that is forwarded, or hangs or stops the process."""
 
     async def main():
         server, port = await start_echo()
         sock = await curio.open_connection("127.0.0.1", port)
         await sock.sendall(data)
-        answer = b""
+        response = b""
         while chunk := await sock.recv(10000):
-            answer += chunk
-        head, body = answer.split(b"\r\n\r\n", 1)
+            response += chunk
+        head, body = response.split(b"\r\n\r\n", 1)
         assert head.startswith(b"HTTP/1.1 %d" % status)
         assert json.loads(body)["error"] == error
         assert json.loads(body)["run_state"] == "did_not_run"
@@ -81,7 +81,7 @@
 
 
 def test_truncated_request_body_never_reaches_the_handler(run):
-    """Guards against a part of a request that is run as if it were whole."""
+    """Guards against a truncated request that is executed as if it were complete."""
 
     async def main():
         called = []
@@ -94,8 +94,8 @@
         sock = await curio.open_connection("127.0.0.1", port)
         await sock.sendall(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nab")
         await sock.shutdown(1)
-        answer = await sock.recv(10000)
-        assert b"truncated_body" in answer
+        response = await sock.recv(10000)
+        assert b"truncated_body" in response
         assert called == []
         await server.stop()
 
@@ -106,7 +106,8 @@
     "length, error", [(9, "truncated_body"), (2000, "body_too_large")]
 )
 def test_refused_body_with_a_key_leaves_the_outcome_unknown(run, length, error):
-    """Guards against ``did_not_run`` for a key whose earlier request may have run."""
+    """Guards against ``did_not_run`` when an earlier request with the same key may have
+    been executed."""
 
     async def main():
         server, port = await start_echo()
@@ -115,10 +116,10 @@
         await sock.sendall(head + b"Content-Length: %d\r\n\r\n" % length)
         await sock.sendall(b"x" * (length - 1))
         await sock.shutdown(1)
-        answer = b""
+        response = b""
         while chunk := await sock.recv(10000):
-            answer += chunk
-        body = json.loads(answer.split(b"\r\n\r\n", 1)[1])
+            response += chunk
+        body = json.loads(response.split(b"\r\n\r\n", 1)[1])
         assert (body["error"], body["run_state"]) == (error, "outcome_unknown")
         await server.stop()
 
@@ -126,7 +127,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer, failure",
+    "response_bytes, failure",
     [
         (b"", ExchangeFailure.NO_RESPONSE),
         (b"HTTP/1.1 2", ExchangeFailure.BAD_RESPONSE),
@@ -137,13 +138,13 @@
         (b"garbage\r\n\r\n", ExchangeFailure.BAD_RESPONSE),
     ],
 )
-def test_partial_response_is_never_whole(run, answer, failure):
-    """Guards against a truncated response that is passed on as complete."""
+def test_partial_response_is_never_treated_as_complete(run, response_bytes, failure):
+    """Guards against a truncated response that is forwarded as complete."""
 
     async def main():
         async def serve(client, address):
             await client.recv(10000)
-            await client.sendall(answer)
+            await client.sendall(response_bytes)
 
         sock = curio.tcp_server_socket("127.0.0.1", 0)
         task = await curio.spawn(curio.network.run_server, sock, serve, daemon=True)
@@ -163,8 +164,8 @@
     async def main():
         async def serve(client, address):
             await client.recv(10000)
-            whole = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"
-            await client.sendall(whole + whole)
+            response_bytes = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"
+            await client.sendall(response_bytes + response_bytes)
             await client.recv(10000)
 
         sock = curio.tcp_server_socket("127.0.0.1", 0)
--- a/pollenfold/tests/observe/test_events.py
+++ b/pollenfold/tests/observe/test_events.py
@@ -10,7 +10,7 @@
 
 
 def test_line_holds_its_fields():
-    """Guards against lines that a program can't split into fields."""
+    """Guards against log lines that can't be parsed into fields."""
     written = []
     log = make_log(lambda data: written.append(data) or len(data))
     log.state("zones_out", zones="a b", index=7, share=0.25)
@@ -21,13 +21,13 @@
 
 
 def test_value_with_a_line_break_stays_on_its_line():
-    """Guards against a request that writes lines of its own into the log."""
+    """Guards against log injection by values from a request."""
     assert "\n" not in format_value("x\nevent=forged")
     assert format_value("") == '""'
 
 
 def test_lines_are_bounded_and_the_dropped_ones_counted():
-    """Guards against a log that takes the processor under load."""
+    """Guards against logging that uses up the CPU under load."""
     clock = ManualClock(1_000.0)
     log = EventLog("e1", clock, write=len)
     for number in range(5_000):
@@ -38,8 +38,8 @@
     assert b"event=log_lines_dropped" in log._buffer
 
 
-def test_reader_that_stopped_blocks_nothing_and_memory_is_bounded():
-    """Guards against a pipe that nobody reads from and that stops the loop."""
+def test_unread_output_blocks_nothing_and_memory_is_bounded():
+    """Guards against an output pipe without a reader that blocks the event loop."""
     clock = ManualClock(1_000.0)
     log = EventLog("e1", clock, write=lambda data: 0)
     for _ in range(20_000):
@@ -51,7 +51,7 @@
 
 
 def test_closed_output_drops_the_lines():
-    """Guards against a process that ends because its log is gone."""
+    """Guards against a process that fails because its log output is closed."""
 
     def write(data):
         raise BrokenPipeError
@@ -62,14 +62,14 @@
     assert (len(log._buffer), log.n_dropped) == (0, 1)
 
 
-def test_metrics_are_read_by_common_scrapers():
-    """Guards against histograms whose buckets don't add up."""
+def test_metrics_follow_the_prometheus_text_format():
+    """Guards against histogram buckets that aren't cumulative."""
     metrics = Metrics()
     metrics.count("requests_total", route='r"1', status="200")
     metrics.count("requests_total", route='r"1', status="200")
     for value_ms in (0.5, 1.0, 7.0, 9_999.0):
         metrics.observe("request_ms", value_ms, route="r1")
-    lines = metrics.text().splitlines()
+    lines = metrics.render().splitlines()
     assert 'pollenfold_requests_total{route="r\\"1",status="200"} 2' in lines
     assert 'pollenfold_request_ms_bucket{route="r1",le="1"} 2' in lines
     assert 'pollenfold_request_ms_bucket{route="r1",le="10"} 3' in lines
--- a/pollenfold/tests/observe/test_signals.py
+++ b/pollenfold/tests/observe/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals that stop a daemon or make it read its settings anew."""
+"""Signals that stop a daemon or reload its settings."""
 
 import os
 import signal
@@ -20,8 +20,8 @@
 
 @pytest.mark.parametrize("second", [*STOP_SIGNALS, RELOAD_SIGNAL])
 def test_second_signal_does_not_end_a_stopping_process(run, second):
-    """Guards against a planned stop that is cut off because it was asked for twice,
-    also in the moment between the first signal and what the daemon does then."""
+    """Guards against a second signal that aborts a planned stop, also between the first
+    signal and the daemon's reaction to it."""
 
     async def main():
         stop = await curio.spawn(wait_for_stop, lambda: None)
@@ -36,7 +36,7 @@
 
 
 def test_cancelled_wait_restores_the_handlers(run):
-    """Guards against a process that can't be stopped after its daemon failed."""
+    """Guards against a process that ignores stop signals after its daemon failed."""
 
     async def main():
         before = signal.getsignal(signal.SIGTERM)
