--- a/pollenfold/http/caller.py
+++ b/pollenfold/http/caller.py
@@ -1,4 +1,4 @@
-"""One caller's connection, with HTTP/1.1 pipelining.
+"""One caller's connection: reads, handles and responds to pipelined requests.
 
 A caller may send further requests before the first response. Those that allow
 concurrency are handled concurrently, up to a bound; responses are always sent in the
@@ -124,7 +124,7 @@
                 await self._cancel_exchange(exchange)
 
     async def close_if_idle(self) -> None:
-        """Close the connection unless a request is pending or has bytes to read."""
+        """Close the connection unless a request is pending or bytes are unread."""
         if not self.is_busy and not is_readable(self._client.fileno()):
             # Reading stops here: a request that crosses the close stays unread, so its
             # caller may safely retry it.
@@ -330,8 +330,8 @@
         headers = [*response.headers]
         if response.close:
             headers.append((b"connection", b"close"))
-        rest = response.rest
-        length = len(response.body) if rest is None else rest.length
+        body_source = response.rest
+        length = len(response.body) if body_source is None else body_source.length
         # Without a length, h11 uses chunked encoding, or closes for HTTP/1.0 callers.
         if response.status not in _STATUS_WITHOUT_BODY and length is not None:
             headers.append((b"content-length", b"%d" % length))
@@ -339,9 +339,9 @@
         data = parser.send(head) or b""
         if response.body:
             data += parser.send(h11.Data(data=response.body)) or b""
-        while rest is not None:
+        while body_source is not None:
             await self._client.sendall(data)
-            piece = await rest.read()
+            piece = await body_source.read()
             if not piece:
                 data = b""
                 break
--- a/pollenfold/http/client.py
+++ b/pollenfold/http/client.py
@@ -163,7 +163,7 @@
                     connection.receive_data(data)
                     continue
             except (OSError, h11.RemoteProtocolError):
-                return self._failure()
+                return self._read_failure()
             if type(event) is h11.Response:
                 self._head = event
             elif type(event) is h11.Data:
@@ -172,16 +172,16 @@
                     return ExchangeFailure.BAD_RESPONSE
                 self._body.append(bytes(event.data))
             elif type(event) is h11.EndOfMessage:
-                return self._complete()
+                return self._complete_exchange()
             elif type(event) is h11.ConnectionClosed:
-                return self._failure()
+                return self._read_failure()
 
-    def _failure(self) -> ExchangeFailure:
+    def _read_failure(self) -> ExchangeFailure:
         if self._has_response_bytes:
             return ExchangeFailure.BAD_RESPONSE
         return ExchangeFailure.NO_RESPONSE
 
-    def _complete(self) -> Response | ExchangeFailure:
+    def _complete_exchange(self) -> Response | ExchangeFailure:
         head = self._head
         if head is None:
             return ExchangeFailure.BAD_RESPONSE
--- a/pollenfold/http/server.py
+++ b/pollenfold/http/server.py
@@ -81,7 +81,7 @@
             window_bytes or MAX_BUFFERED_BODY_BYTES,
         )
         self._connections: set[CallerConnection] = set()
-        self._listener: curio.Task | None = None
+        self._accept_task: curio.Task | None = None
         self._listening: sockets.socket | None = None
 
     @property
@@ -96,7 +96,9 @@
     async def start_on(self, listener: sockets.socket) -> int:
         """Serve a socket that is already listening, and return its port."""
         self._listening = listener
-        self._listener = await curio.spawn(self._accept, Socket(listener), daemon=True)
+        self._accept_task = await curio.spawn(
+            self._accept, Socket(listener), daemon=True
+        )
         return int(listener.getsockname()[1])
 
     def announce_stop(self) -> None:
@@ -110,9 +112,9 @@
         accepted first and given ``FIRST_REQUEST_WAIT_MS`` to send it.
         """
         self._traffic.is_stopping = True
-        if self._listener is not None and self._listening is not None:
+        if self._accept_task is not None and self._listening is not None:
             await self._accept_queued(self._listening)
-            await self._listener.cancel()
+            await self._accept_task.cancel()
             self._listening.close()
         for connection in list(self._connections):
             if connection.is_new:
@@ -143,11 +145,11 @@
                 client, address = await sock.accept()
                 await self._spawn_connection(client, address[0])
 
-    async def _accept_queued(self, listening: sockets.socket) -> None:
+    async def _accept_queued(self, listening_socket: sockets.socket) -> None:
         """Accept the connections that wait in the kernel's accept queue."""
         try:
             while True:
-                client, address = listening.accept()
+                client, address = listening_socket.accept()
                 client.setblocking(False)
                 await self._spawn_connection(Socket(client), address[0])
         except OSError:
--- a/pollenfold/tests/http/test_retry_after.py
+++ b/pollenfold/tests/http/test_retry_after.py
@@ -40,6 +40,6 @@
 
 def test_backoffs_of_entries_refused_together_are_spread():
     """Guards against a second overload when all entries retry after the back-off."""
-    returns = [spread_rest_ms(2_000.0, position / 15) for position in range(16)]
-    assert min(returns) >= 2_000.0
-    assert max(returns) - min(returns) >= 150.0
+    backoffs_ms = [spread_rest_ms(2_000.0, position / 15) for position in range(16)]
+    assert min(backoffs_ms) >= 2_000.0
+    assert max(backoffs_ms) - min(backoffs_ms) >= 150.0
