--- a/pollenfold/http/client.py
+++ b/pollenfold/http/client.py
@@ -190,7 +190,7 @@
         if not is_bodiless and not _is_framed(head):
             return ExchangeFailure.BAD_RESPONSE
         if connection.our_state is h11.DONE and connection.their_state is h11.DONE:
-            # Surplus bytes after a complete response make the connection unusable.
+            # Not reused after surplus bytes, which belong to no request.
             if not connection.trailing_data[0]:
                 connection.start_next_cycle()
                 self.reusable = True
@@ -198,6 +198,6 @@
 
 
 def _is_framed(head: h11.Response) -> bool:
-    """Return whether the end of the body differs from a broken connection."""
+    """Return whether the framing distinguishes a complete from a truncated body."""
     names = {name for name, _ in head.headers}
     return b"content-length" in names or b"transfer-encoding" in names
