--- a/pollenfold/gateway/answers.py
+++ b/pollenfold/gateway/answers.py
@@ -1,4 +1,4 @@
-"""The final answers of an entry, each with its log line and its count."""
+"""Final responses of an entry, with the log line and the metrics of each."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from .view import FleetView
 
 
-class FinalAnswers:
-    """Makes the final answer of each request that an entry took."""
+class FinalResponses:
+    """Builds the final response to each accepted request, and logs and counts it."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         detail: str = "",
         after_ms: float | None = None,
     ) -> Response:
-        """Refuse a request before a call is made of it."""
+        """Refuse a request for which no ``Call`` was created."""
         after_s = None if after_ms is None else after_ms / 1000
         response = error_response(kind, detail, retry_after_s=after_s)
         self._metrics.count("refused_total", kind=kind.value)
@@ -56,7 +56,7 @@
         return response
 
     def finish(self, call: Call, status: int, kind: str) -> None:
-        """Count and log the end of a call, with what decided it."""
+        """Count and log the end of a call, with the decisions that led to it."""
         latency_ms = self._clock() - call.started_at
         name = call.route.name
         self._metrics.count("requests_total", route=name, status=str(status))
@@ -72,19 +72,22 @@
             latency_ms=latency_ms,
             deadline_ms=call.deadline - call.started_at,
             age_ms=call.age_ms,
-            work_ms=call.work.get(),
+            work_ms=call.work_estimate.get(),
             attempts=call.describe_attempts() or "none",
-            asked=";".join(call.trace) or "none",
+            asked=";".join(call.decision_trace) or "none",
             version=self._view.orders.version,
             index=self._view.orders.index,
             n_endpoints=len(self._view.by_service.get(call.service, ())),
         )
 
-    def give_up(self, call: Call, kind: ErrorKind) -> Response:
-        """Answer for a call that ends without a response to pass on."""
+    def finish_failed(self, call: Call, kind: ErrorKind) -> Response:
+        """Return the response to a call for which no attempt succeeded.
+
+        An error response of a backend server, if there was one, is passed on.
+        """
         if call.last_response is not None:
             return self.relay(call, call.last_response)
-        if call.may_have_run:
+        if call.may_have_executed:
             is_late = kind is ErrorKind.DEADLINE_EXCEEDED
             kind = kind if is_late else ErrorKind.BACKEND_FAILED
             response = error_response(kind, run_state=RunState.OUTCOME_UNKNOWN.value)
@@ -95,17 +98,18 @@
             after_ms = retry_after_ms(left_ms, self._rng.random())
             if kind is ErrorKind.BACKEND_REFUSED:
                 after_ms = quick_retry_after_ms(self._rng.random())
-            if call.rest_ms is not None:
-                after_ms = max(after_ms, call.rest_ms)
+            if call.back_off_ms is not None:
+                after_ms = max(after_ms, call.back_off_ms)
             response = error_response(kind, retry_after_s=round(after_ms / 1000, 3))
         self._metrics.count("refused_total", kind=kind.value)
         self.finish(call, response.status, kind.value)
         return response
 
-    def end_broken_body(self, call: Call, kind: ErrorKind) -> Response | None:
-        """Answer for a call whose caller didn't send the rest of its body.
+    def end_incomplete_request(self, call: Call, kind: ErrorKind) -> Response | None:
+        """End a call whose caller didn't send its whole body.
 
-        A part of it reached a backend server, so no answer may say that it didn't run.
+        Part of the body has reached a backend server, so the response must not claim
+        that the request was not executed. Returns None when the caller is gone.
         """
         if kind is ErrorKind.TRUNCATED_BODY:
             self.finish(call, 0, "caller_gone")
@@ -118,7 +122,7 @@
         return response
 
     def relay(self, call: Call, response: Response) -> Response:
-        """Pass a backend server's response on."""
+        """Pass on the response of a backend server, without hop-by-hop headers."""
         self.finish(call, response.status, "responded")
         headers = [pair for pair in response.headers if pair[0] not in HOP_HEADERS]
         return Response(response.status, headers, response.body, rest=response.rest)
--- a/pollenfold/gateway/backend.py
+++ b/pollenfold/gateway/backend.py
@@ -1,7 +1,7 @@
-"""One connection of an entry to a backend server, for one exchange at a time.
+"""A connection of an entry to a backend server, for one exchange at a time.
 
-A connection serves several exchanges one after the other. It is used again only when
-both sides of the last exchange were complete and no byte followed the response.
+A connection serves several exchanges in sequence. It is reused only if the request and
+the response of the last exchange were complete and no bytes followed the response.
 """
 
 from __future__ import annotations
@@ -28,29 +28,29 @@
 READ_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 64 * 1024
 RESPONSE_WINDOW_BYTES = 256 * 1024
-"""A longer response is passed on while it arrives."""
+"""A longer response is streamed to the caller while it arrives."""
 
-MAX_INTERIM = 16
-"""How many interim responses (1xx) may come before a response."""
+MAX_INTERIM_RESPONSES = 16
+"""The maximum number of interim responses (1xx) before the final response."""
 
-MAX_READS_AT_ONCE = 4
-SEND_CHECK_MS = 20.0
-"""How often a blocked send looks whether the server already answered."""
+MAX_CONSECUTIVE_READS = 4
+SEND_CHECK_INTERVAL_MS = 20.0
+"""How often a blocked send checks whether the server has already responded."""
 
-REST_CHECK_MS = 100.0
-"""The same while the caller's next bytes are waited for."""
+BODY_CHECK_INTERVAL_MS = 100.0
+"""The same check while waiting for more of the caller's request body."""
 
-BeforeEnd = Callable[[], Awaitable[None]]
-"""Is awaited before the end of a long request is sent."""
+BeforeFinalPiece = Callable[[], Awaitable[None]]
+"""Awaited before the final piece of a long request is sent."""
 
 _FRAMING = frozenset((b"content-length", b"transfer-encoding"))
 
 
 class Failure(Enum):
-    """How far an exchange had come when it failed."""
+    """How far an exchange had got when it failed."""
 
     LOST = "lost"
-    """The request was written at least in part and no whole response came."""
+    """The request was written at least in part, but no complete response arrived."""
 
 
 def _new_parser() -> h11.Connection:
@@ -60,8 +60,8 @@
 class BackendConnection:
     """One connection to a backend server.
 
-    An idle connection holds no parser: an entry keeps hundreds of them, and each
-    parser would take some KB.
+    An idle connection has no parser, because an entry keeps hundreds of idle
+    connections and a parser uses several KB.
     """
 
     __slots__ = (
@@ -70,17 +70,17 @@
         "_is_connected",
         "_request",
         "_parser",
-        "_is_all_sent",
-        "_had_other_answer",
-        "_n_read_at_once",
+        "_is_request_written",
+        "_has_skipped_response",
+        "_n_consecutive_reads",
         "_link",
         "is_clean",
-        "used_at",
+        "last_used_at",
         "n_exchanges",
     )
 
     def __init__(self, host: str, port: int, link: Link) -> None:
-        """Start to connect, without waiting; raise OSError when that fails at once.
+        """Start connecting without waiting; raise OSError on an immediate failure.
 
         ``link`` paces long bodies.
         """
@@ -96,16 +96,16 @@
         self._is_connected = code == 0
         self._request: OutgoingRequest | None = None
         self._parser: h11.Connection | None = None
-        self._is_all_sent = True
-        self._had_other_answer = False
-        self._n_read_at_once = 0
+        self._is_request_written = True
+        self._has_skipped_response = False
+        self._n_consecutive_reads = 0
         self._link = link
         self.is_clean = True
-        self.used_at = Instant(0.0)
+        self.last_used_at = Instant(0.0)
         self.n_exchanges = 0
 
     async def connected(self) -> None:
-        """Wait until the connection is open; raise OSError when it can't be."""
+        """Wait until the connection is open; raise OSError if it can't be opened."""
         if self._is_connected:
             return
         await _write_wait(self._raw)
@@ -120,63 +120,68 @@
         return self._is_connected
 
     def has_input(self) -> bool:
-        """Return whether bytes or the end of the stream wait to be read.
+        """Return whether bytes or the end of the stream are ready to be read.
 
-        An idle connection of which this is true can't carry a request any more.
+        An idle connection with input can't carry another request.
         """
         return is_readable(self._raw.fileno())
 
     async def close(self) -> None:
-        """Close the connection, which also cancels a request in flight."""
+        """Close the connection, which also cancels any request in flight."""
         self.is_clean = False
         await self._sock.close()
 
     async def send(
-        self, request: OutgoingRequest, before_end: BeforeEnd | None = None
+        self,
+        request: OutgoingRequest,
+        before_final_piece: BeforeFinalPiece | None = None,
     ) -> bool:
-        """Write a request; return False when not one byte of it was written.
+        """Write a request; return False if no byte of it was written.
 
-        ``before_end`` is awaited before the last piece of a long body that is at hand.
+        ``before_final_piece`` is awaited before the last piece of a long body, if the
+        body is already complete in memory.
 
-        The connection is not clean until ``receive`` has read the whole response. A
-        server may answer before it has read a long request: then the rest isn't sent,
-        and the connection carries no other request.
-        Raise OSError when the connection broke after the first byte.
+        The connection isn't reusable until ``receive`` has read the whole response. A
+        server may respond before it has read a long request: the remaining body is then
+        not sent, and the connection carries no further request.
+        Raise OSError if the connection failed after the first byte.
         """
         self.is_clean = False
-        self._is_all_sent = True
+        self._is_request_written = True
         self.n_exchanges += 1
         self._request = request
         parser = self._parser = _new_parser()
         parts = [part for part in request.encode(parser) if part]
         for position, data in enumerate(parts):
             is_last = request.read_rest is None and position == len(parts) - 1
-            n_sent, n_bytes = await self._write(data, before_end if is_last else None)
+            n_sent, n_bytes = await self._write(
+                data, before_final_piece if is_last else None
+            )
             if n_sent == 0 and position == 0:
                 return False
-            self._is_all_sent = n_sent == n_bytes
-            if not self._is_all_sent:
+            self._is_request_written = n_sent == n_bytes
+            if not self._is_request_written:
                 return True
-        while request.read_rest is not None and self._is_all_sent:
+        while request.read_rest is not None and self._is_request_written:
             piece = await self._next_piece(request.read_rest)
             if piece is None:
-                self._is_all_sent = False
+                self._is_request_written = False
                 break
             event = h11.Data(data=piece) if piece else h11.EndOfMessage()
             n_sent, n_bytes = await self._write(parser.send(event) or b"")
             if n_sent < n_bytes:
-                self._is_all_sent = False
+                self._is_request_written = False
             if not piece:
                 break
         return True
 
     async def _write(
-        self, data: bytes, before_end: BeforeEnd | None = None
+        self, data: bytes, before_final_piece: BeforeFinalPiece | None = None
     ) -> tuple[int, int]:
-        """Write bytes; return how many, of how many.
+        """Write bytes; return the number written and the total number.
 
-        Fewer are written when the server answers before, and none when the connection
-        broke before the first one. Raise OSError when it broke later.
+        Fewer are written if the server responds first, and none if the connection
+        failed before the first one. Raise OSError if it failed later.
         """
         view = memoryview(data)
         n_sent = 0
@@ -185,9 +190,9 @@
         while n_sent < len(data):
             if n_sent == n_permitted:
                 n_permitted = min(len(data), n_sent + piece_bytes)
-                if before_end is not None and n_permitted == len(data):
-                    await before_end()
-                if not await self._wait_for_turn(n_permitted - n_sent):
+                if before_final_piece is not None and n_permitted == len(data):
+                    await before_final_piece()
+                if not await self._wait_for_link(n_permitted - n_sent):
                     break
             try:
                 n_written = self._raw.send(view[n_sent:n_permitted])
@@ -197,44 +202,45 @@
                 if self.has_input():
                     break
                 try:
-                    async with curio.timeout_after(SEND_CHECK_MS / 1000):
+                    async with curio.timeout_after(SEND_CHECK_INTERVAL_MS / 1000):
                         await _write_wait(self._raw)
                 except curio.TaskTimeout:
                     continue
             except OSError:
-                if n_sent == 0 and self._is_all_sent:
+                if n_sent == 0 and self._is_request_written:
                     return 0, len(data)
                 raise
         return n_sent, len(data)
 
-    async def _wait_for_turn(self, n_bytes: int) -> bool:
-        """Wait until the link has room; return False when the server answers before."""
+    async def _wait_for_link(self, n_bytes: int) -> bool:
+        """Wait until a piece may be sent; return False if the server responds first."""
         left_ms = self._link.reserve_piece(n_bytes, system_clock())
         until = add_ms(system_clock(), left_ms)
         while not self.has_input():
             left_ms = remaining_ms(until, system_clock())
             if left_ms <= 0.0:
                 return True
-            await curio.sleep(min(left_ms, SEND_CHECK_MS) / 1000)
+            await curio.sleep(min(left_ms, SEND_CHECK_INTERVAL_MS) / 1000)
         return False
 
     async def _next_piece(self, read_rest: ReadRest) -> bytes | None:
-        """Return the next part of the body; None when the server answers before."""
+        """Return the next piece of the body, or None if the server responds first."""
         while not self.has_input():
             try:
-                async with curio.timeout_after(REST_CHECK_MS / 1000):
+                async with curio.timeout_after(BODY_CHECK_INTERVAL_MS / 1000):
                     return await read_rest()
             except curio.TaskTimeout:
                 continue
         return None
 
     async def receive(
-        self, is_answer: Callable[[Response], bool]
+        self, is_expected: Callable[[Response], bool]
     ) -> Response | Failure:
         """Read the response to the request that was sent.
 
-        A whole response that ``is_answer`` rejects belongs to an earlier exchange and
-        is skipped once; the connection then carries no other request.
+        A complete response for which ``is_expected`` is false belongs to an earlier
+        exchange. One such response is skipped, and the connection then carries no
+        further request.
         """
         request, parser = self._request, self._parser
         self._request = self._parser = None
@@ -244,22 +250,22 @@
             response = await self._read_response(parser)
             if isinstance(response, Failure):
                 return response
-            if is_answer(response):
+            if is_expected(response):
                 return response
             if response.rest is not None:
                 return Failure.LOST
-            rest = parser.trailing_data[0]
-            if not self.is_clean and not rest:
+            surplus = parser.trailing_data[0]
+            if not self.is_clean and not surplus:
                 return Failure.LOST
-            self._had_other_answer = True
+            self._has_skipped_response = True
             parser = _new_parser()
             request.encode(parser)
-            if rest:
-                parser.receive_data(rest)
+            if surplus:
+                parser.receive_data(surplus)
         return Failure.LOST
 
     async def _read_response(self, parser: h11.Connection) -> Response | Failure:
-        """Read a response, whole or, of a long one, as much as the window holds."""
+        """Read a response, or as much of a long one as the window holds."""
         try:
             head = await self._read_head(parser)
             body: list[bytes] = []
@@ -267,8 +273,8 @@
             while n_body_bytes < RESPONSE_WINDOW_BYTES:
                 piece = await self._read_piece(parser, head)
                 if not piece:
-                    whole = b"".join(body)
-                    return Response(head.status_code, list(head.headers), whole)
+                    content = b"".join(body)
+                    return Response(head.status_code, list(head.headers), content)
                 body.append(piece)
                 n_body_bytes += len(piece)
         except (OSError, h11.RemoteProtocolError):
@@ -283,28 +289,31 @@
         return Response(head.status_code, headers, b"".join(body), rest=rest)
 
     async def _read_head(self, parser: h11.Connection) -> h11.Response:
-        """Return the head; raise OSError when the connection ends before it."""
+        """Return the head; raise OSError if the connection ends before it."""
         n_interim = 0
         while True:
             event = await self._next_event(parser)
             if type(event) is h11.Response:
                 return event
             n_interim += 1
-            if type(event) is not h11.InformationalResponse or n_interim > MAX_INTERIM:
-                raise ConnectionAbortedError("no response")
+            if (
+                type(event) is not h11.InformationalResponse
+                or n_interim > MAX_INTERIM_RESPONSES
+            ):
+                raise ConnectionAbortedError("no final response was received")
 
     async def _read_piece(self, parser: h11.Connection, head: h11.Response) -> bytes:
-        """Return a part of the body, or nothing at its end; raise OSError before it."""
+        """Return a piece of the body, empty at the end; raise OSError if truncated."""
         while True:
             event = await self._next_event(parser)
             if type(event) is h11.Data:
                 if event.data:
                     return bytes(event.data)
             elif type(event) is h11.EndOfMessage:
-                self._finish(parser, head)
+                self._finish_response(parser, head)
                 return b""
             else:
-                raise ConnectionAbortedError("the response broke off")
+                raise ConnectionAbortedError("the response ended early")
 
     async def _read_rest(self, parser: h11.Connection, head: h11.Response) -> bytes:
         try:
@@ -320,23 +329,29 @@
         return event
 
     async def _receive_bytes(self) -> bytes:
-        self._n_read_at_once += 1
-        if self._n_read_at_once >= MAX_READS_AT_ONCE:
-            # A server that sends without end must not keep the loop from others.
-            self._n_read_at_once = 0
+        self._n_consecutive_reads += 1
+        if self._n_consecutive_reads >= MAX_CONSECUTIVE_READS:
+            # A server that sends endlessly must not starve the other tasks.
+            self._n_consecutive_reads = 0
             await curio.sleep(0)
         try:
             return self._raw.recv(READ_BYTES)
         except (BlockingIOError, InterruptedError):
-            self._n_read_at_once = 0
+            self._n_consecutive_reads = 0
             await _read_wait(self._raw)
             return bytes(await self._sock.recv(READ_BYTES))
 
-    def _finish(self, parser: h11.Connection, head: h11.Response) -> None:
-        """Decide whether another exchange may follow."""
+    def _finish_response(self, parser: h11.Connection, head: h11.Response) -> None:
+        """Decide whether the connection can be reused for another exchange."""
         names = {name for name, _ in head.headers}
         is_framed = bool(names & _FRAMING) or head.status_code in (204, 304)
-        closes = (find_header(list(head.headers), b"connection") or b"").lower()
-        is_kept = is_framed and b"close" not in closes and head.http_version == b"1.1"
-        is_over = self._is_all_sent and not parser.trailing_data[0]
-        self.is_clean = is_kept and is_over and not self._had_other_answer
+        connection_option = (
+            find_header(list(head.headers), b"connection") or b""
+        ).lower()
+        is_persistent = (
+            is_framed
+            and b"close" not in connection_option
+            and head.http_version == b"1.1"
+        )
+        is_complete = self._is_request_written and not parser.trailing_data[0]
+        self.is_clean = is_persistent and is_complete and not self._has_skipped_response
--- a/pollenfold/gateway/balancer.py
+++ b/pollenfold/gateway/balancer.py
@@ -1,4 +1,4 @@
-"""Finds the endpoint for one request: asks a few for their load and takes the best."""
+"""Endpoint selection for a request: probes a few for load and chooses the best."""
 
 from __future__ import annotations
 
@@ -23,36 +23,37 @@
 from .cold import ColdPermits
 from .connections import Connections
 from .dialect import Dialect
-from .probes import Answer, Prober, ServiceState
+from .probes import Prober, ProbeResult, ServiceProbeState
 from .settings import BalancerSettings
 from .view import Endpoint, FleetView
 
 N_FIRST_PROBES = 2
 N_NEXT_PROBES = 3
 MAX_ROUNDS = 3
-CROWDED_SLOWDOWN = 2.0
-"""Cold endpoints are asked as well when warm ones are at least so slow."""
+OVERLOADED_SLOWDOWN = 2.0
+"""Above this slowdown of the best endpoint a service counts as overloaded, and cold
+endpoints are probed as well."""
 
-CROWDED_MEMORY_MS = 12.0
-"""How long a search that found only slow endpoints stands for the next ones."""
+OVERLOAD_MEMORY_MS = 12.0
+"""How long the result of a search that found only slow endpoints is reused."""
 
-UNASKED_MEMORY_MS = 150.0
-"""The same while the probe budget is spent."""
+UNPROBED_MEMORY_MS = 150.0
+"""The same while the probe budget is exhausted."""
 
-ASK_AGAIN_PAUSE_MS = 40.0
-"""How long after an endpoint said that it is slow it is asked again."""
+SLOW_ENDPOINT_PROBE_INTERVAL_MS = 40.0
+"""How long after an endpoint reported being slow it is probed again."""
 
 PROBE_BURST_S = 5.0
-PROBE_SHARE = 0.85
-"""The share of the probe budget that this use of it may take."""
+PROBE_BUDGET_SHARE = 0.85
+"""The share of the configured probe rate that searches may use."""
 
 
 @dataclass(slots=True)
 class Pick:
-    """An endpoint for one request, with a connection that is ready to carry it.
+    """The endpoint selected for a request, with a connection that is ready for it.
 
-    ``slowdown`` is how many times its usual time the request should take there, and
-    ``load`` what the endpoint said just now, if it said anything.
+    ``slowdown`` is the expected latency there as a multiple of the usual latency.
+    ``load`` is the load that the endpoint has just reported, if any.
     """
 
     endpoint: Endpoint
@@ -63,21 +64,21 @@
 
 @dataclass(slots=True)
 class _Search:
-    """The search of an endpoint for one request, with what it found so far."""
+    """The search for an endpoint for one request, with its results so far."""
 
     service: str
-    state: ServiceState
+    probe_state: ServiceProbeState
     endpoints: list[Endpoint]
     deadline: Instant
     max_slowdown: float
     trace: list[str]
-    asked: set[str] = field(default_factory=set)
+    probed_ids: set[str] = field(default_factory=set)
     n_rounds: int = 0
-    best: Answer | None = None
+    best: ProbeResult | None = None
 
 
 class Balancer:
-    """Chooses endpoints for one entry."""
+    """Selects endpoints for the requests of one entry."""
 
     def __init__(
         self,
@@ -97,164 +98,170 @@
         self._prober = Prober(
             view, dialect, settings.zone, self._connections, clock, metrics, rng, link
         )
-        self._cold = ColdPermits(view, settings, clock)
-        self._services: dict[str, ServiceState] = {}
+        self._cold_permits = ColdPermits(view, settings, clock)
+        self._probe_states: dict[str, ServiceProbeState] = {}
         self._probe_budget: TokenBucket | None = None
 
-    # Choice
+    # Selection
 
     async def pick(
         self,
         service: str,
-        tried: set[str],
+        tried_endpoint_ids: set[str],
         deadline: Instant,
         max_slowdown: float,
         trace: list[str],
     ) -> Pick | None:
-        """Return an endpoint with a connection, or None when none can be used.
+        """Return an endpoint with a connection, or None if none is usable.
 
-        A request that needs a slowdown of at most ``max_slowdown`` isn't searched an
-        endpoint for when another one just found none so quick.
+        The request needs a slowdown of at most ``max_slowdown``. No search is made if
+        another request's search has just found no endpoint that fast.
 
-        ``trace`` gets one item for each round of questions: how many endpoints were
-        asked and answered, and the least slowdown, for example ``3/2/1.60``.
+        For each round of probes an item is appended to ``trace``: the number of probed
+        endpoints, the number of responses and the least slowdown, as in ``3/2/1.60``.
         """
         now = self._clock()
         endpoints = [
             endpoint
             for endpoint in self._view.by_service.get(service, ())
-            if endpoint.announcement.endpoint_id not in tried
+            if endpoint.announcement.endpoint_id not in tried_endpoint_ids
             and not endpoint.is_resting(now)
         ]
         if not endpoints:
             return None
-        self._refill(now)
-        state = self._services.setdefault(service, ServiceState())
+        self._update_probe_budget(now)
+        state = self._probe_states.setdefault(service, ServiceProbeState())
         search = _Search(service, state, endpoints, deadline, max_slowdown, trace)
-        if self._is_crowded(search, CROWDED_MEMORY_MS):
+        if self._is_overloaded(search, OVERLOAD_MEMORY_MS):
             trace.append(f"crowded/{state.least_slowdown:.2f}")
             return None
-        if not state.tells_load(now):
+        if not state.should_probe(now):
             return await self._pick_without_reports(search)
         return await self._pick_by_reports(search)
 
-    def _may_probe(self, n_probes: int, now: Instant) -> bool:
+    def _acquire_probes(self, n_probes: int, now: Instant) -> bool:
         budget = self._probe_budget
         return budget is not None and budget.try_take(n_probes, now)
 
-    def _refill(self, now: Instant) -> None:
-        """Adjust the probe budget to the present size of the fleet."""
+    def _update_probe_budget(self, now: Instant) -> None:
+        """Adjust the probe budget to the current numbers of endpoints and entries."""
         n_endpoints = len(self._view.endpoints)
         n_entries = self._view.fleet.get(now)
-        rate = self._settings.probes_per_s * PROBE_SHARE * n_endpoints / n_entries
+        rate = (
+            self._settings.probes_per_s * PROBE_BUDGET_SHARE * n_endpoints / n_entries
+        )
         burst = rate * PROBE_BURST_S
         if self._probe_budget is None:
-            # Full at first: callers that waited for a restart come all at once.
+            # Starts full: callers that waited for a restart arrive all at once.
             self._probe_budget = TokenBucket(rate, burst, now, level=burst)
         self._probe_budget.rate_per_s = rate
         self._probe_budget.burst = burst
 
     async def _pick_by_reports(self, search: _Search) -> Pick | None:
-        """Ask in rounds until an endpoint is quick, and take the best."""
+        """Probe in rounds until an endpoint is fast, and select the best."""
         for n_round in range(MAX_ROUNDS):
             if remaining_ms(search.deadline, self._clock()) <= 0.0:
                 break
-            usable = self._usable(search)
-            if not usable and search.best is None:
-                # None of them answered, which a busy moment explains as well.
-                search.asked.clear()
-                usable = self._usable(search)
-            n_wanted = self._n_permitted(n_round)
-            if not n_wanted and not search.asked:
-                return await self._pick_unasked(search)
-            if not usable or not n_wanted:
+            candidates = self._probe_candidates(search)
+            if not candidates and search.best is None:
+                # None responded. That may only be a short peak of load, so probe again.
+                search.probed_ids.clear()
+                candidates = self._probe_candidates(search)
+            n_wanted = self._acquire_round(n_round)
+            if not n_wanted and not search.probed_ids:
+                return await self._pick_unprobed(search)
+            if not candidates or not n_wanted:
                 break
-            # What another zone answers costs bytes between zones.
+            # Probes to other zones cost traffic between zones.
             is_local_only = n_round < MAX_ROUNDS - 1
-            await self._ask_round(search, usable, n_wanted, is_local_only)
+            await self._probe_round(search, candidates, n_wanted, is_local_only)
             if search.best is not None and search.best.cost < QUICK_SLOWDOWN:
                 break
-        return None if search.best is None else await self._take(search, search.best)
+        return None if search.best is None else await self._accept(search, search.best)
+
+    def _probe_candidates(self, search: _Search) -> list[Endpoint]:
+        """Return the endpoints that may be probed next.
 
-    def _usable(self, search: _Search) -> list[Endpoint]:
-        """Return the endpoints to ask next; cold ones only when there is a need."""
+        Cold endpoints are included only if the best one is overloaded, or if no other
+        endpoints remain.
+        """
         now = self._clock()
         best = search.best
-        is_crowded = best is not None and best.slowdown > CROWDED_SLOWDOWN
-        left = [
+        is_overloaded = best is not None and best.slowdown > OVERLOADED_SLOWDOWN
+        remaining = [
             endpoint
             for endpoint in search.endpoints
-            if endpoint.announcement.endpoint_id not in search.asked
+            if endpoint.announcement.endpoint_id not in search.probed_ids
             and not endpoint.is_resting(now)
         ]
-        usable = [
+        preferred = [
             endpoint
-            for endpoint in left
-            if is_crowded or endpoint.is_unconfirmed or not endpoint.is_cold(now)
+            for endpoint in remaining
+            if is_overloaded or endpoint.is_unconfirmed or not endpoint.is_cold(now)
         ]
-        return usable or left
+        return preferred or remaining
 
-    def _n_permitted(self, n_round: int) -> int:
-        """Take permits for a round from the probe budget; return how many."""
+    def _acquire_round(self, n_round: int) -> int:
+        """Reserve the probes of a round in the probe budget; return how many."""
         now = self._clock()
         n_wanted = N_NEXT_PROBES if n_round else N_FIRST_PROBES
-        if self._may_probe(n_wanted, now):
+        if self._acquire_probes(n_wanted, now):
             return n_wanted
-        return int(n_round == 0 and self._may_probe(1, now))
+        return int(n_round == 0 and self._acquire_probes(1, now))
 
-    async def _ask_round(
+    async def _probe_round(
         self,
         search: _Search,
-        usable: list[Endpoint],
+        candidates: list[Endpoint],
         n_wanted: int,
         is_local_only: bool,
     ) -> None:
-        """Ask some of the endpoints, and keep the best answer so far."""
-        by_id = {e.announcement.endpoint_id: e for e in usable}
-        options = [self._option(endpoint) for endpoint in usable]
+        """Probe some of the endpoints and update the best result so far."""
+        by_id = {e.announcement.endpoint_id: e for e in candidates}
+        options = [self._option(endpoint) for endpoint in candidates]
         chosen = choose_round(
             options, n_wanted, is_local_only, self._clock(), self._rng
         )
-        search.asked.update(option.endpoint_id for option in chosen)
+        search.probed_ids.update(option.endpoint_id for option in chosen)
         endpoints = [by_id[option.endpoint_id] for option in chosen]
-        is_patient = search.best is None and search.n_rounds > 0
+        uses_longest_wait = search.best is None and search.n_rounds > 0
         search.n_rounds += 1
-        answers = await self._prober.ask(
-            search.service, search.state, endpoints, is_patient
+        results = await self._prober.probe(
+            search.service, search.probe_state, endpoints, uses_longest_wait
         )
-        best = search.best = await self._best(search.best, answers)
+        best = search.best = await self._keep_best(search.best, results)
         least = "none" if best is None else f"{best.slowdown:.2f}"
-        search.trace.append(f"{len(chosen)}/{len(answers)}/{least}")
-
-    async def _take(self, search: _Search, best: Answer) -> Pick | None:
-        """Return the best endpoint, unless it may not get the request any more."""
-        search.state.least_slowdown = best.slowdown
-        search.state.searched_at = self._clock()
-        is_permitted = not best.is_cold or self._cold.take(best.endpoint)
-        # The endpoint may have begun to leave while it was asked.
+        search.trace.append(f"{len(chosen)}/{len(results)}/{least}")
+
+    async def _accept(self, search: _Search, best: ProbeResult) -> Pick | None:
+        """Select the best endpoint, or return None if it may no longer get requests."""
+        search.probe_state.least_slowdown = best.slowdown
+        search.probe_state.last_search_at = self._clock()
+        is_permitted = not best.is_cold or self._cold_permits.acquire(best.endpoint)
+        # The endpoint may have started to leave while it was probed.
         if not is_permitted or not self._view.may_get_work(best.endpoint):
-            await self._connections.give_back(best.endpoint, best.connection)
+            await self._connections.release(best.endpoint, best.connection)
             return None
         return Pick(best.endpoint, best.connection, best.slowdown, best.load)
 
-    async def _pick_unasked(self, search: _Search) -> Pick | None:
-        """Choose while the probe budget is spent.
+    async def _pick_unprobed(self, search: _Search) -> Pick | None:
+        """Select an endpoint while the probe budget is exhausted.
 
-        What the last search found stands a little longer then, so that a crowded
-        service isn't flooded for want of questions.
+        The result of the last search is then valid for longer, so that an overloaded
+        service isn't flooded with requests because nothing can be probed.
         """
-        if self._is_crowded(search, UNASKED_MEMORY_MS):
-            search.trace.append(f"unasked/{search.state.least_slowdown:.2f}")
+        if self._is_overloaded(search, UNPROBED_MEMORY_MS):
+            search.trace.append(f"unasked/{search.probe_state.least_slowdown:.2f}")
             return None
         search.trace.append("unasked")
         return await self._pick_without_reports(search)
 
-    def _is_crowded(self, search: _Search, memory_ms: float) -> bool:
-        """Return whether the last search found nothing quick enough for this one."""
-        state = search.state
-        if self._clock() >= add_ms(state.searched_at, memory_ms):
+    def _is_overloaded(self, search: _Search, memory_ms: float) -> bool:
+        """Return whether the last search found no endpoint fast enough for this one."""
+        state = search.probe_state
+        if self._clock() >= add_ms(state.last_search_at, memory_ms):
             return False
-        return state.least_slowdown > max(search.max_slowdown, CROWDED_SLOWDOWN)
+        return state.least_slowdown > max(search.max_slowdown, OVERLOADED_SLOWDOWN)
 
     def _option(self, endpoint: Endpoint) -> Option:
         announcement = endpoint.announcement
@@ -262,75 +269,78 @@
         has_idle = self._connections.has_idle(announcement.endpoint_id)
         return Option(announcement.endpoint_id, is_local, endpoint.health, has_idle)
 
-    async def _best(self, best: Answer | None, answers: list[Answer]) -> Answer | None:
-        """Return the better of the best so far and the answers; release the rest."""
-        for answer in answers:
-            if answer.is_cold and not self._cold.has(answer.endpoint):
-                loser: Answer | None = answer
-            elif best is None or answer.cost < best.cost:
-                loser, best = best, answer
+    async def _keep_best(
+        self, best: ProbeResult | None, results: list[ProbeResult]
+    ) -> ProbeResult | None:
+        """Return the best result, and release the connections of the others."""
+        for result in results:
+            if result.is_cold and not self._cold_permits.has_permit(result.endpoint):
+                rejected: ProbeResult | None = result
+            elif best is None or result.cost < best.cost:
+                rejected, best = best, result
             else:
-                loser = answer
-            if loser is not None:
-                await self._connections.give_back(loser.endpoint, loser.connection)
+                rejected = result
+            if rejected is not None:
+                await self._connections.release(rejected.endpoint, rejected.connection)
         return best
 
     async def _pick_without_reports(self, search: _Search) -> Pick | None:
-        """Choose by what this entry saw; a cold endpoint needs a permit."""
-        left = list(search.endpoints)
+        """Select by this entry's own measurements; a cold endpoint needs a permit."""
+        remaining = list(search.endpoints)
         for _ in range(MAX_ROUNDS):
             now = self._clock()
-            warm = [e for e in left if not e.is_cold(now)]
+            warm = [e for e in remaining if not e.is_cold(now)]
             option = choose_without_reports(
-                [self._option(e) for e in warm or left], now, self._rng
+                [self._option(e) for e in warm or remaining], now, self._rng
             )
             if option is None:
                 return None
             endpoint = next(
-                e for e in left if e.announcement.endpoint_id == option.endpoint_id
+                e for e in remaining if e.announcement.endpoint_id == option.endpoint_id
             )
-            left.remove(endpoint)
-            if endpoint.is_cold(now) and not self._cold.take(endpoint):
+            remaining.remove(endpoint)
+            if endpoint.is_cold(now) and not self._cold_permits.acquire(endpoint):
                 continue
             connection = await self._connections.connect(endpoint, search.deadline)
             if connection is None:
                 continue
-            # The endpoint may have begun to leave while the connection was opened.
+            # The endpoint may have started to leave while the connection was opened.
             if self._view.may_get_work(endpoint):
                 return Pick(endpoint, connection, 1.0)
-            await self._connections.give_back(endpoint, connection)
+            await self._connections.release(endpoint, connection)
         return None
 
-    async def wait_until_quick(
+    async def wait_until_fast(
         self,
         service: str,
         endpoint: Endpoint,
         until: Instant,
-        is_over: Callable[[], bool],
+        is_cancelled: Callable[[], bool],
     ) -> None:
-        """Wait until an endpoint says that it is quick, at most until then.
+        """Wait until an endpoint reports that it is fast, but not beyond ``until``.
 
-        Return at once when it can't be asked or doesn't answer, or when ``is_over``.
+        Return immediately if it can't be probed or doesn't respond, or if
+        ``is_cancelled`` returns true.
         """
-        state = self._services.setdefault(service, ServiceState())
-        while (now := self._clock()) < until and self._may_probe(1, now):
-            answers = await self._prober.ask(service, state, [endpoint], False)
-            for answer in answers:
-                await self.give_back(answer.endpoint, answer.connection)
-            if not answers or answers[0].slowdown < QUICK_SLOWDOWN or is_over():
+        state = self._probe_states.setdefault(service, ServiceProbeState())
+        while (now := self._clock()) < until and self._acquire_probes(1, now):
+            results = await self._prober.probe(service, state, [endpoint], False)
+            for result in results:
+                await self.give_back(result.endpoint, result.connection)
+            if not results or results[0].slowdown < QUICK_SLOWDOWN or is_cancelled():
                 return
-            await curio.sleep(ASK_AGAIN_PAUSE_MS / 1000)
+            await curio.sleep(SLOW_ENDPOINT_PROBE_INTERVAL_MS / 1000)
 
     async def give_back(
         self, endpoint: Endpoint, connection: BackendConnection
     ) -> None:
-        """Return a connection that is no longer used."""
-        await self._connections.give_back(endpoint, connection)
+        """Return a connection to the pool of its endpoint, or close it."""
+        await self._connections.release(endpoint, connection)
 
     async def run(self) -> None:
-        """Close old idle connections and forget endpoints that left."""
+        """Periodically close idle connections and drop state of removed endpoints."""
         while True:
             await curio.sleep(1.0)
             await self._connections.close_old()
             self._prober.forget_absent()
-            self._cold.forget_absent()
+            self._cold_permits.forget_absent()
--- a/pollenfold/gateway/cold.py
+++ b/pollenfold/gateway/cold.py
@@ -1,4 +1,4 @@
-"""Which requests this entry may send to cold endpoints."""
+"""This entry's limit on the requests that it sends to cold endpoints."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
         self._view = view
         self._settings = settings
         self._clock = clock
-        self._sends: dict[str, WindowCount] = {}
+        self._recent_sends: dict[str, WindowCount] = {}
 
-    def has(self, endpoint: Endpoint) -> bool:
-        """Return whether one more request may be sent now."""
+    def has_permit(self, endpoint: Endpoint) -> bool:
+        """Return whether one more request may be sent now, without counting it."""
         now = self._clock()
         return self._count(endpoint).get(now) < self._n_permits(endpoint, now)
 
-    def take(self, endpoint: Endpoint) -> bool:
-        """Count one request, if it may be sent."""
-        if not self.has(endpoint):
+    def acquire(self, endpoint: Endpoint) -> bool:
+        """Count one request if it may be sent; return whether it may."""
+        if not self.has_permit(endpoint):
             return False
         self._count(endpoint).add(self._clock())
         return True
 
     def forget_absent(self) -> None:
-        """Drop the counts of endpoints that left."""
+        """Drop the counts of endpoints that are no longer known."""
         known = self._view.endpoints
-        self._sends = {k: v for k, v in self._sends.items() if k in known}
+        self._recent_sends = {k: v for k, v in self._recent_sends.items() if k in known}
 
     def _count(self, endpoint: Endpoint) -> WindowCount:
         endpoint_id = endpoint.announcement.endpoint_id
-        return self._sends.setdefault(endpoint_id, WindowCount(1_000.0))
+        return self._recent_sends.setdefault(endpoint_id, WindowCount(1_000.0))
 
     def _n_permits(self, endpoint: Endpoint, now: Instant) -> int:
         configuration = self._view.configuration
--- a/pollenfold/gateway/connections.py
+++ b/pollenfold/gateway/connections.py
@@ -1,4 +1,4 @@
-"""The connections of an entry to all endpoints, under its part of their limits."""
+"""The connections of an entry to all endpoints, within its share of their limits."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         self._pools: dict[str, ConnectionPool] = {}
 
     def pool(self, endpoint: Endpoint) -> ConnectionPool:
-        """Return the connections to an endpoint, under this entry's part."""
+        """Return the pool of an endpoint, limited to this entry's share."""
         announcement = endpoint.announcement
         pool = self._pools.get(announcement.endpoint_id)
         address = (announcement.host, announcement.port)
@@ -52,12 +52,12 @@
         return max(2, int(CONNECTION_SHARE * n_all / n_entries) - CONNECTION_MARGIN)
 
     def has_idle(self, endpoint_id: str) -> bool:
-        """Return whether a connection to an endpoint is open and free."""
+        """Return whether there is an idle connection to an endpoint."""
         pool = self._pools.get(endpoint_id)
         return pool is not None and pool.n_idle > 0
 
-    async def start(self, endpoint: Endpoint) -> BackendConnection | None:
-        """Return a connection to an endpoint that is open or opening."""
+    async def acquire(self, endpoint: Endpoint) -> BackendConnection | None:
+        """Return an open or opening connection, or None if there can be none."""
         try:
             return await self.pool(endpoint).take()
         except OSError:
@@ -67,8 +67,8 @@
     async def connect(
         self, endpoint: Endpoint, deadline: Instant
     ) -> BackendConnection | None:
-        """Return an open connection to an endpoint, or None when it has none."""
-        connection = await self.start(endpoint)
+        """Return an open connection to an endpoint, or None if none can be opened."""
+        connection = await self.acquire(endpoint)
         if connection is None:
             return None
         left_ms = min(remaining_ms(deadline, self._clock()), CONNECT_TIMEOUT_MS)
@@ -77,11 +77,17 @@
                 await connection.connected()
             return connection
         except (OSError, curio.TaskTimeout):
-            await self.fail(endpoint, connection)
+            await self.record_failure(endpoint, connection)
             return None
 
-    async def fail(self, endpoint: Endpoint, connection: BackendConnection) -> None:
-        """Leave out an endpoint that didn't answer; a stale connection says nothing."""
+    async def record_failure(
+        self, endpoint: Endpoint, connection: BackendConnection
+    ) -> None:
+        """Close the connection and record the failure in the endpoint's health.
+
+        The failure of a reused connection may only mean that it was stale, so the
+        endpoint isn't marked unreachable then.
+        """
         is_reused = connection.n_exchanges > 1
         reason = "reused" if is_reused else "fresh"
         if not connection.is_connected:
@@ -94,18 +100,19 @@
         else:
             endpoint.health.mark_unreachable(now)
 
-    async def give_back(
-        self, endpoint: Endpoint, connection: BackendConnection
-    ) -> None:
-        """Return a connection that is no longer used."""
-        await self.pool(endpoint).give_back(connection)
+    async def release(self, endpoint: Endpoint, connection: BackendConnection) -> None:
+        """Return a connection to the pool of its endpoint, or close it."""
+        await self.pool(endpoint).release(connection)
 
     async def discard(self, endpoint: Endpoint, connection: BackendConnection) -> None:
-        """Close a connection."""
+        """Close a connection and remove it from the pool of its endpoint."""
         await self.pool(endpoint).discard(connection)
 
     async def close_old(self) -> None:
-        """Close old idle connections, and all to endpoints that leave or left."""
+        """Close connections that were idle for long.
+
+        All idle connections to endpoints that are leaving or gone are closed.
+        """
         for endpoint_id, pool in list(self._pools.items()):
             endpoint = self._view.endpoints.get(endpoint_id)
             is_used = endpoint is not None and not self._view.is_leaving(endpoint)
--- a/pollenfold/gateway/exchange.py
+++ b/pollenfold/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One exchange with an endpoint: the send, the wait and what the response means."""
+"""An exchange with an endpoint: sends a request and classifies the response."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from ..core.outcomes import AttemptOutcome
 from ..http.messages import BodyError, Response, find_header
 from ..http.readiness import is_closed_by_peer
-from .backend import BackendConnection, BeforeEnd, Failure
+from .backend import BackendConnection, BeforeFinalPiece, Failure
 from .calls import Call
 from .dialect import Dialect
 from .outgoing import OutgoingRequest, ReadRest, outgoing_request
 from .view import Endpoint
 
-CALLER_CHECK_MS = 150.0
-"""How often a waiting request looks whether its caller closed the connection."""
+CALLER_CHECK_INTERVAL_MS = 150.0
+"""How often a waiting request checks whether its caller closed the connection."""
 
 RESPONSE_GRACE_MS = 40.0
-"""An endpoint ends work at its deadline and says so; that answer is worth waiting
-for, since it tells more than an own one."""
+"""An endpoint aborts a request at its deadline and reports it. This response is waited
+for, because it says more about the outcome than one made by the entry."""
 
 
 class CallerGoneError(Exception):
-    """The caller closed its connection, so nobody waits for the response."""
+    """The caller closed its connection and no longer waits for the response."""
 
 
 def is_caller_gone(call: Call) -> bool:
@@ -40,43 +40,43 @@
     endpoint: Endpoint,
     dialect: Dialect,
     clock: Clock,
-    before_end: BeforeEnd | None = None,
+    before_final_piece: BeforeFinalPiece | None = None,
 ) -> tuple[AttemptOutcome, Response | None]:
-    """Send the request to one endpoint; return how that ended, and a whole response.
+    """Send the request to one endpoint; return the outcome and any response.
 
-    ``before_end`` is awaited before the end of a long request is sent.
-    Raise CallerGoneError when nobody waits for an idempotent request any more, and
-    BodyError when the caller doesn't send the rest of a body.
+    ``before_final_piece`` is awaited before the final piece of a long request is sent.
+    Raise CallerGoneError if the caller of an idempotent request is gone, and BodyError
+    if the caller doesn't send its whole body.
     """
     left_ms = remaining_ms(call.deadline, clock())
     try:
         async with curio.timeout_after(left_ms / 1000):
-            request = _request_for(call, endpoint, dialect, left_ms)
-            is_sent = await connection.send(request, before_end)
+            request = _build_request(call, endpoint, dialect, left_ms)
+            is_sent = await connection.send(request, before_final_piece)
         if not is_sent:
             return AttemptOutcome.UNREACHABLE, None
-        call.may_have_run = True
+        call.may_have_executed = True
         call.sent_at = clock()
-        received = await _wait(call, connection, dialect, clock)
+        received = await _receive_response(call, connection, dialect, clock)
     except curio.TaskTimeout:
-        # The server takes no more of a long request, or the caller sends no more.
-        call.may_have_run = True
+        # The server stopped reading a long request, or the caller stopped sending it.
+        call.may_have_executed = True
         return AttemptOutcome.EXPIRED, None
     except BodyError:
-        call.may_have_run = True
+        call.may_have_executed = True
         raise
     except OSError:
-        call.may_have_run = True
+        call.may_have_executed = True
         return AttemptOutcome.LOST, None
     if isinstance(received, Response):
         return _classify(call, received, dialect), received
     return received, None
 
 
-def _request_for(
+def _build_request(
     call: Call, endpoint: Endpoint, dialect: Dialect, left_ms: float
 ) -> OutgoingRequest:
-    """Return the request for one endpoint, with the time that is left."""
+    """Return the request for one endpoint, with the remaining time as its deadline."""
     endpoint_id = endpoint.announcement.endpoint_id.encode()
     headers = [
         *call.headers,
@@ -89,42 +89,46 @@
         request.target,
         headers,
         request.body,
-        _rest_of(call),
+        _body_reader(call),
         request.header(b"content-length"),
     )
 
 
-def _rest_of(call: Call) -> ReadRest | None:
-    """Return what reads the rest of a long body, and notes that it was begun."""
+def _body_reader(call: Call) -> ReadRest | None:
+    """Return the reader of the rest of a long body; it records that it was used."""
     read_rest = call.request.read_rest
     if read_rest is None:
         return None
 
-    async def read_and_note() -> bytes:
-        call.is_rest_taken = True
+    async def read_and_record() -> bytes:
+        call.is_body_streamed = True
         return await read_rest()
 
-    return read_and_note
+    return read_and_record
 
 
-async def _wait(
+async def _receive_response(
     call: Call, connection: BackendConnection, dialect: Dialect, clock: Clock
 ) -> Response | AttemptOutcome:
-    """Wait for the response, and look whether the caller still does."""
+    """Wait for the response, and check meanwhile whether the caller is still there."""
     until = add_ms(call.deadline, RESPONSE_GRACE_MS)
-    is_answer = _answers(call.request_id, dialect, connection.n_exchanges == 1)
-    reader = await curio.spawn(connection.receive, is_answer, daemon=True)
+    is_expected = _response_matcher(
+        call.request_id, dialect, connection.n_exchanges == 1
+    )
+    reader = await curio.spawn(connection.receive, is_expected, daemon=True)
     try:
         while not reader.terminated:
             left_ms = remaining_ms(until, clock())
             if left_ms <= 0.0:
                 return AttemptOutcome.EXPIRED
-            async with curio.ignore_after(min(left_ms, CALLER_CHECK_MS) / 1000):
+            async with curio.ignore_after(
+                min(left_ms, CALLER_CHECK_INTERVAL_MS) / 1000
+            ):
                 await reader.wait()
             if reader.terminated:
                 break
-            # The outcome of a non-idempotent request is awaited even when its
-            # caller left: ending it half done helps nobody.
+            # A non-idempotent request is awaited even if its caller is gone, since
+            # aborting it could leave it partly executed.
             if call.route.is_idempotent and is_caller_gone(call):
                 raise CallerGoneError
         received: Response | Failure = reader.result
@@ -136,27 +140,27 @@
             await reader.cancel()
 
 
-def _answers(
+def _response_matcher(
     request_id: bytes, dialect: Dialect, is_first: bool
 ) -> Callable[[Response], bool]:
-    """Return what tells whether a response belongs to this request.
+    """Return a function that checks whether a response belongs to this request.
 
-    Backend servers echo the id of a request. A response without one may be a late
-    second copy of a health answer, unless nothing was asked on the connection before.
+    Backend servers echo the id of a request. A response without an id may be a late
+    duplicate of a health response, unless this is the first request on the connection.
     """
 
-    def is_answer(response: Response) -> bool:
+    def is_expected(response: Response) -> bool:
         echoed = find_header(response.headers, dialect.request_id)
         return is_first if echoed is None else echoed == request_id
 
-    return is_answer
+    return is_expected
 
 
 def _classify(call: Call, response: Response, dialect: Dialect) -> AttemptOutcome:
-    """Return what a whole response means for another attempt."""
+    """Return the outcome, which decides whether the request may be retried."""
     is_refused = find_header(response.headers, dialect.not_executed)
     if response.status == 421 or is_refused is not None:
-        call.may_have_run = call.ran_before()
+        call.may_have_executed = call.may_have_executed_before()
         return AttemptOutcome.NOT_STARTED
     if not dialect.is_genuine(response):
         return AttemptOutcome.LOST
--- a/pollenfold/gateway/forward.py
+++ b/pollenfold/gateway/forward.py
@@ -1,4 +1,4 @@
-"""The path of a request: route, endpoint, response, and what may be sent again."""
+"""Request forwarding: route, endpoint selection, attempts and the final response."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 )
 from ..observe.events import EventLog
 from ..observe.exposition import Metrics
-from .answers import FinalAnswers
-from .backend import BeforeEnd
-from .balancer import CROWDED_SLOWDOWN, Balancer, Pick
-from .calls import NEVER_RAN, Attempt, Call, CallBook, RetryLimits
+from .answers import FinalResponses
+from .backend import BeforeFinalPiece
+from .balancer import OVERLOADED_SLOWDOWN, Balancer, Pick
+from .calls import NOT_EXECUTED_OUTCOMES, Attempt, Call, CallFactory, RetryLimits
 from .dialect import Dialect
 from .exchange import CallerGoneError, exchange, is_caller_gone
-from .long_response import keep_for_rest
+from .long_response import hold_connection_for_body
 from .notices import take_notices
 from .view import Endpoint, FleetView
 
@@ -37,14 +37,15 @@
 NOT_READY_RETRY_AFTER_MS = 150.0
 
 STALE_LOAD_MS = 40.0
-"""A load that was told so long before the request is in says little."""
+"""If sending the body takes at least this long, the reported load is out of date by the
+time the request is complete."""
 
 MAX_HOLD_MS = 1_500.0
-"""How long the end of a request is held back at most."""
+"""The longest time for which the final piece of a request is delayed."""
 
 
 class Forwarder:
-    """Serves the callers of one entry."""
+    """Forwards the requests of an entry's callers to backend servers."""
 
     def __init__(
         self,
@@ -62,139 +63,147 @@
         self._view = view
         self._balancer = balancer
         self._dialect = dialect
-        self._book = CallBook(dialect, retry_limits)
+        self._book = CallFactory(dialect, retry_limits)
         self._clock = clock
         self._log = log
         self._metrics = metrics
         self._rng = rng
-        self._answers = FinalAnswers(view, clock, log, metrics, rng)
+        self._final_responses = FinalResponses(view, clock, log, metrics, rng)
 
     def is_idempotent(self, request: Request) -> bool:
-        """Return whether a request may run beside others of its connection."""
+        """Return whether a request may run concurrently with others on a connection."""
         configuration = self._view.configuration
         if configuration is None:
             return False
-        route = _route_of(request, configuration)
+        route = _find_request_route(request, configuration)
         return route is not None and route.is_idempotent
 
     async def handle(self, request: Request) -> Response | None:
-        """Return the final response, or None when the caller went away.
+        """Return the final response, or None if the caller is gone.
 
-        The caller's time counts from when the head of the request was read.
+        The caller's deadline counts from when the head of the request was read.
         """
         received_at = request.received_at
         started_at = self._clock() if received_at is None else received_at
         configuration = self._view.configuration
         request_id = request.header(self._dialect.request_id) or b""
-        refuse = self._answers.refuse
+        refuse = self._final_responses.refuse
         if configuration is None:
             after_ms = NOT_READY_RETRY_AFTER_MS
             return refuse(request_id, ErrorKind.NOT_READY, after_ms=after_ms)
         self._book.retain(configuration)
-        route = _route_of(request, configuration)
+        route = _find_request_route(request, configuration)
         if route is None:
             return refuse(request_id, ErrorKind.NO_ROUTE)
-        call = self._book.call(request, request_id, route, started_at)
+        call = self._book.create_call(request, request_id, route, started_at)
         if call is None:
             detail = "malformed deadline"
             kind = ErrorKind.BAD_REQUEST
             return refuse(request_id, kind, route=route.name, detail=detail)
         self._link.note_received(len(request.body), started_at)
         try:
-            final = await self._run(call)
+            final = await self._forward(call)
         except CallerGoneError:
-            self._answers.finish(call, 0, "caller_gone")
+            self._final_responses.finish(call, 0, "caller_gone")
             return None
         except BodyError as error:
-            return self._answers.end_broken_body(call, error.kind)
+            return self._final_responses.end_incomplete_request(call, error.kind)
         return final
 
     # Attempts
 
-    async def _run(self, call: Call) -> Response:
-        """Send the request to one endpoint after another, as far as is allowed."""
-        call.allowance.count_request(call.started_at)
+    async def _forward(self, call: Call) -> Response:
+        """Send the request to one endpoint after another, as far as retries allow."""
+        call.retry_allowance.count_request(call.started_at)
         n_sent = 0
         while True:
-            is_first = n_sent == 0
-            pick = await self._search(call, is_first)
+            is_first_attempt = n_sent == 0
+            pick = await self._select_endpoint(call, is_first_attempt)
             if isinstance(pick, ErrorKind):
-                return self._answers.give_up(call, pick)
+                return self._final_responses.finish_failed(call, pick)
             outcome, response = await self._attempt(call, pick)
-            call.tried.add(pick.endpoint.announcement.endpoint_id)
+            call.tried_endpoint_ids.add(pick.endpoint.announcement.endpoint_id)
             if outcome is not AttemptOutcome.UNREACHABLE:
                 n_sent += 1
             if outcome is AttemptOutcome.RESPONDED and response is not None:
-                return self._answers.relay(call, response)
+                return self._final_responses.relay(call, response)
             if outcome is AttemptOutcome.EXPIRED:
-                return self._answers.give_up(call, ErrorKind.DEADLINE_EXCEEDED)
-            is_repeatable = call.route.is_idempotent or outcome in NEVER_RAN
-            may_retry = is_repeatable and not call.is_rest_taken
+                return self._final_responses.finish_failed(
+                    call, ErrorKind.DEADLINE_EXCEEDED
+                )
+            is_repeatable = call.route.is_idempotent or outcome in NOT_EXECUTED_OUTCOMES
+            may_retry = is_repeatable and not call.is_body_streamed
             if not may_retry or n_sent >= max(1, call.route.max_attempts):
-                is_full = pick.slowdown > CROWDED_SLOWDOWN
-                refused = ErrorKind.QUEUE_FULL if is_full else ErrorKind.BACKEND_REFUSED
-                return self._answers.give_up(call, refused)
+                is_overloaded = pick.slowdown > OVERLOADED_SLOWDOWN
+                refusal_kind = (
+                    ErrorKind.QUEUE_FULL if is_overloaded else ErrorKind.BACKEND_REFUSED
+                )
+                return self._final_responses.finish_failed(call, refusal_kind)
 
-    async def _search(self, call: Call, is_first: bool) -> Pick | ErrorKind:
-        """Return an endpoint that may get the request, or why none may."""
+    async def _select_endpoint(
+        self, call: Call, is_first_attempt: bool
+    ) -> Pick | ErrorKind:
+        """Return an endpoint for the request, or the reason why there is none."""
         if is_caller_gone(call):
             raise CallerGoneError
-        left_ms = remaining_ms(call.target, self._clock()) - self._send_ms(call)
+        left_ms = remaining_ms(call.target_at, self._clock()) - self._body_send_ms(call)
         pick = await self._balancer.pick(
             call.service,
-            call.tried,
+            call.tried_endpoint_ids,
             call.deadline,
-            acceptable_slowdown(call.work.get(), left_ms),
-            call.trace,
+            acceptable_slowdown(call.work_estimate.get(), left_ms),
+            call.decision_trace,
         )
         if pick is None:
-            call.rest_ms = self._view.rest_left_ms(call.service)
-            if call.rest_ms is None:
+            call.back_off_ms = self._view.rest_left_ms(call.service)
+            if call.back_off_ms is None:
                 return ErrorKind.NO_BACKEND_SERVER
-            call.trace.append(f"resting/{call.rest_ms:.0f}")
+            call.decision_trace.append(f"resting/{call.back_off_ms:.0f}")
             return ErrorKind.QUEUE_FULL
-        refused = self._refuses(call, pick, is_first)
-        if refused is None:
+        refusal_kind = self._refusal_kind(call, pick, is_first_attempt)
+        if refusal_kind is None:
             return pick
         await self._balancer.give_back(pick.endpoint, pick.connection)
-        return refused
+        return refusal_kind
 
-    def _refuses(self, call: Call, pick: Pick, is_first: bool) -> ErrorKind | None:
-        """Return why a request isn't sent to the endpoint that was found, if so."""
+    def _refusal_kind(
+        self, call: Call, pick: Pick, is_first_attempt: bool
+    ) -> ErrorKind | None:
+        """Return why a request may not be sent to the selected endpoint, if so."""
         now = self._clock()
         if remaining_ms(call.deadline, now) < MIN_DEADLINE_MS:
             return ErrorKind.DEADLINE_EXCEEDED
-        if is_first:
+        if is_first_attempt:
             return None if self._admits(call, pick, now) else ErrorKind.QUEUE_FULL
-        if call.allowance.take(self._view.fleet.get(now), now):
+        if call.retry_allowance.take(self._view.fleet.get(now), now):
             return None
         self._metrics.count("retries_refused_total", service=call.service)
         return ErrorKind.BACKEND_REFUSED
 
     def _admits(self, call: Call, pick: Pick, now: Instant) -> bool:
-        """Return whether a request is sent where the search found room for it."""
+        """Return whether a first attempt may be sent to the selected endpoint."""
         prospect = Prospect(
-            call.work.get(),
+            call.work_estimate.get(),
             pick.slowdown,
             pick.load,
-            remaining_ms(call.target, now) - self._send_ms(call),
-            remaining_ms(call.deadline, now) - self._send_ms(call),
+            remaining_ms(call.target_at, now) - self._body_send_ms(call),
+            remaining_ms(call.deadline, now) - self._body_send_ms(call),
         )
         verdict = judge(prospect)
-        call.trace.append(verdict.value)
+        call.decision_trace.append(verdict.value)
         self._metrics.count(
             "admissions_total", service=call.service, verdict=verdict.value
         )
         return verdict is not Verdict.REFUSE
 
-    def _send_ms(self, call: Call) -> float:
-        """Return how long the link takes to pass the body of a request on."""
+    def _body_send_ms(self, call: Call) -> float:
+        """Return how long the link takes to send the request body that was read."""
         return self._link.transfer_ms(len(call.request.body))
 
     async def _attempt(
         self, call: Call, pick: Pick
     ) -> tuple[AttemptOutcome, Response | None]:
-        """Send the request to one endpoint; return how that ended."""
+        """Send the request to one endpoint; return the outcome and any response."""
         endpoint = pick.endpoint
         started_at = self._clock()
         endpoint.health.n_in_flight += 1
@@ -207,7 +216,7 @@
                 endpoint,
                 self._dialect,
                 self._clock,
-                self._before_end(call, pick),
+                self._before_final_piece(call, pick),
             )
         finally:
             endpoint.health.n_in_flight -= 1
@@ -220,53 +229,53 @@
                     elapsed_ms,
                 )
             )
-            is_open = response is not None and response.rest is not None
-            if outcome is AttemptOutcome.RESPONDED and is_open:
-                keep_for_rest(
+            has_remaining_body = response is not None and response.rest is not None
+            if outcome is AttemptOutcome.RESPONDED and has_remaining_body:
+                hold_connection_for_body(
                     call, pick, response, self._balancer, self._clock, self._log
                 )
             else:
                 await self._balancer.give_back(endpoint, pick.connection)
-        self._learn(call, endpoint, outcome, elapsed_ms)
+        self._record_outcome(call, endpoint, outcome, elapsed_ms)
         if response is not None:
             take_notices(endpoint, response, self._dialect, self._view, self._rng)
         if outcome is AttemptOutcome.RESPONDED and pick.load is not None:
-            call.work.observe(self._clock() - call.sent_at, pick.slowdown)
-        if outcome is AttemptOutcome.SERVER_ERROR and not is_open:
+            call.work_estimate.observe(self._clock() - call.sent_at, pick.slowdown)
+        if outcome is AttemptOutcome.SERVER_ERROR and not has_remaining_body:
             call.last_response = response
         return outcome, response
 
-    def _before_end(self, call: Call, pick: Pick) -> BeforeEnd | None:
-        """Return what holds the end of a long request back while the endpoint is slow.
+    def _before_final_piece(self, call: Call, pick: Pick) -> BeforeFinalPiece | None:
+        """Return a function that delays the end of a long request to a slow endpoint.
 
-        An endpoint begins with the work when the whole request is in, and what it said
-        of its load before a long body went out is old then. A request whose caller
-        left meanwhile isn't finished.
+        An endpoint starts a request when it has received all of it, and the load that
+        it reported before a long body was sent is out of date then. If the caller
+        leaves meanwhile, the request is not completed.
         """
-        if pick.load is None or self._send_ms(call) < STALE_LOAD_MS:
+        if pick.load is None or self._body_send_ms(call) < STALE_LOAD_MS:
             return None
         until = min(
-            add_ms(call.target, -SPREAD_FACTOR * call.work.get()),
-            add_ms(self._clock(), self._send_ms(call) + MAX_HOLD_MS),
+            add_ms(call.target_at, -SPREAD_FACTOR * call.work_estimate.get()),
+            add_ms(self._clock(), self._body_send_ms(call) + MAX_HOLD_MS),
         )
 
-        async def wait_until_quick() -> None:
-            await self._balancer.wait_until_quick(
+        async def wait_until_fast() -> None:
+            await self._balancer.wait_until_fast(
                 call.service, pick.endpoint, until, lambda: is_caller_gone(call)
             )
             if is_caller_gone(call):
                 raise CallerGoneError
 
-        return wait_until_quick
+        return wait_until_fast
 
-    def _learn(
+    def _record_outcome(
         self,
         call: Call,
         endpoint: Endpoint,
         outcome: AttemptOutcome,
         elapsed_ms: float,
     ) -> None:
-        """Let the outcome change what this entry thinks of the endpoint."""
+        """Update the health of the endpoint from the outcome of an attempt."""
         now = self._clock()
         service = call.service
         self._metrics.count("attempts_total", service=service, outcome=outcome.value)
@@ -284,6 +293,8 @@
                 endpoint.health.fail(1.0, now)
 
 
-def _route_of(request: Request, configuration: RoutingConfiguration) -> Route | None:
+def _find_request_route(
+    request: Request, configuration: RoutingConfiguration
+) -> Route | None:
     host = (request.header(b"host") or b"").decode("latin-1")
     return find_route(configuration, host, request.path)
--- a/pollenfold/gateway/long_response.py
+++ b/pollenfold/gateway/long_response.py
@@ -1,4 +1,4 @@
-"""Responses that are passed on while they still arrive."""
+"""Long responses, which are streamed to the caller while they arrive."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from .balancer import Balancer, Pick
 from .calls import Call
 
-BROKEN_OFF_PENALTY = 2.0
+ABORTED_RESPONSE_PENALTY = 2.0
 
 
-def keep_for_rest(
+def hold_connection_for_body(
     call: Call,
     pick: Pick,
     response: Response,
@@ -22,15 +22,15 @@
     clock: Clock,
     log: EventLog,
 ) -> None:
-    """Keep the connection until the rest of a long response was passed on.
+    """Hold the connection until the rest of a long response has been passed on.
 
-    The response has a ``rest``; it is replaced by one that ends at the deadline of the
-    call, tells the health of the endpoint when it breaks off, and gives the connection
-    back when it is closed.
+    The ``rest`` of the response is replaced by one that ends at the deadline of the
+    call, records in the endpoint's health if the body ends early, and releases the
+    connection when it is closed.
     """
     source = response.rest
     if source is None:
-        raise ValueError("the response is whole")
+        raise ValueError("the response has no remaining body to stream")
     endpoint = pick.endpoint
     endpoint.health.n_in_flight += 1
 
@@ -38,7 +38,7 @@
         left_ms = remaining_ms(call.deadline, clock())
         try:
             if left_ms <= 0.0:
-                raise BodyError(ErrorKind.DEADLINE_EXCEEDED, "deadline")
+                raise BodyError(ErrorKind.DEADLINE_EXCEEDED, "deadline exceeded")
             async with curio.timeout_after(left_ms / 1000):
                 return await source.read()
         except (BodyError, curio.TaskTimeout) as error:
@@ -47,9 +47,9 @@
                 True,
                 request=call.request_id.decode("latin-1"),
                 endpoint=endpoint.announcement.endpoint_id,
-                detail=str(error) or "deadline",
+                detail=str(error) or "deadline exceeded",
             )
-            endpoint.health.fail(BROKEN_OFF_PENALTY, clock())
+            endpoint.health.fail(ABORTED_RESPONSE_PENALTY, clock())
             raise BodyError(ErrorKind.BACKEND_FAILED) from error
 
     async def close() -> None:
--- a/pollenfold/gateway/outgoing.py
+++ b/pollenfold/gateway/outgoing.py
@@ -1,4 +1,4 @@
-"""Requests to backend servers, checked and framed once."""
+"""Requests to backend servers, validated and framed once for all attempts."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from ..http.messages import Headers
 
 MAX_COPIED_BYTES = 16 * 1024
-"""A body up to this length is written together with its head, in one call."""
+"""A body up to this length is copied behind the head, to be written in one call."""
 
 ReadRest = Callable[[], Awaitable[bytes]]
-"""Returns the next part of a body, and nothing at its end."""
+"""Returns the next piece of a body, empty at its end."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """A request that was checked once.
+    """A validated request.
 
-    It may be sent several times as long as nothing was taken from ``read_rest``, which
-    gives what follows ``body``.
+    ``read_rest`` returns the pieces that follow ``body``. The request may be sent
+    several times as long as ``read_rest`` has not been called.
     """
 
     head: h11.Request
@@ -29,9 +29,9 @@
     read_rest: ReadRest | None = None
 
     def encode(self, parser: h11.Connection) -> list[bytes]:
-        """Return what is at hand as bytes; ``parser`` then expects the response.
+        """Return the head and ``body`` as bytes; ``parser`` then expects the response.
 
-        A long body stays apart from the head, so that it isn't copied.
+        A long body stays separate from the head, so that it isn't copied.
         """
         data = [parser.send(self.head) or b""]
         if self.body:
@@ -49,17 +49,17 @@
     read_rest: ReadRest | None = None,
     length: bytes | None = None,
 ) -> OutgoingRequest:
-    """Return a request to send; ``headers`` hold the host and no framing.
+    """Return a request to send; ``headers`` include the host but no framing.
 
-    ``length`` is that of a body of which ``read_rest`` gives the rest; without it such
-    a body is sent in chunks.
+    ``length`` is the content length of a body whose rest comes from ``read_rest``.
+    Without ``length`` such a body is sent with chunked encoding.
     """
-    framed = headers
+    framed_headers = headers
     if read_rest is not None:
         chunked = (b"transfer-encoding", b"chunked")
         framing = chunked if length is None else (b"content-length", length)
-        framed = [*headers, framing]
+        framed_headers = [*headers, framing]
     elif body or method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
-        framed = [*headers, (b"content-length", b"%d" % len(body))]
-    head = h11.Request(method=method, target=target, headers=framed)
+        framed_headers = [*headers, (b"content-length", b"%d" % len(body))]
+    head = h11.Request(method=method, target=target, headers=framed_headers)
     return OutgoingRequest(head, body, read_rest)
--- a/pollenfold/gateway/pool.py
+++ b/pollenfold/gateway/pool.py
@@ -1,4 +1,4 @@
-"""Connections of an entry to one backend server, under a limit."""
+"""Limited pool of the connections of an entry to one backend server."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class ConnectionPool:
-    """Connections to one endpoint, under a limit.
+    """A pool of at most ``limit`` connections to one endpoint.
 
-    Idle connections are taken last in, first out, so that the ones that aren't needed
-    grow old and are closed here before the server closes them.
+    Idle connections are reused last in, first out, so that surplus connections stay
+    idle and are closed here before the server closes them.
     """
 
     __slots__ = ("host", "port", "limit", "n_open", "_idle", "_clock", "_link")
@@ -29,13 +29,13 @@
 
     @property
     def n_idle(self) -> int:
-        """The number of connections that wait to be used again."""
+        """The number of idle connections."""
         return len(self._idle)
 
     async def take(self) -> BackendConnection | None:
-        """Return an idle connection, or one that connects, or None at the limit.
+        """Return an idle connection or a new one that is connecting.
 
-        Raise OSError when connecting fails at once.
+        Return None at the limit, and raise OSError if connecting fails immediately.
         """
         while self._idle:
             connection = self._idle.pop()
@@ -46,28 +46,28 @@
         return self.open()
 
     def open(self) -> BackendConnection | None:
-        """Return a new connection that connects, or None at the limit."""
+        """Return a new connection that is connecting, or None at the limit."""
         if self.n_open >= self.limit:
             return None
         connection = BackendConnection(self.host, self.port, self._link)
         self.n_open += 1
         return connection
 
-    async def give_back(self, connection: BackendConnection) -> None:
-        """Take a connection back; close it unless it may be used again."""
+    async def release(self, connection: BackendConnection) -> None:
+        """Return a connection to the pool, or close it if it can't be reused."""
         if connection.is_clean and connection.is_connected:
-            connection.used_at = self._clock()
+            connection.last_used_at = self._clock()
             self._idle.append(connection)
             return
         await self.discard(connection)
 
     async def discard(self, connection: BackendConnection) -> None:
-        """Close a connection."""
+        """Close a connection and remove it from the pool."""
         self.n_open -= 1
         await connection.close()
 
     async def close_idle(self, idle_ms: float) -> None:
-        """Close the connections that were idle for so long."""
+        """Close the connections that have been idle for at least ``idle_ms``."""
         oldest = add_ms(self._clock(), -idle_ms)
-        while self._idle and self._idle[0].used_at <= oldest:
+        while self._idle and self._idle[0].last_used_at <= oldest:
             await self.discard(self._idle.pop(0))
--- a/pollenfold/gateway/probes.py
+++ b/pollenfold/gateway/probes.py
@@ -1,4 +1,4 @@
-"""Questions to endpoints for their load, just before a send."""
+"""Load probes of endpoints just before a request is sent."""
 
 from __future__ import annotations
 
@@ -29,30 +29,31 @@
 MAX_PROBE_WAIT_MS = 80.0
 
 PROBE_WAIT_FACTOR = 4.0
-"""An endpoint that takes so many times the usual time to answer isn't waited for."""
+"""A probe times out after this multiple of the mean duration of a round of probes."""
 
-UNSEEN_BYTES = 64 * 1024
-"""What may be on its way to this entry ahead of an answer, unseen: bodies of callers
-are known only when they were read."""
+UNSEEN_INBOUND_BYTES = 64 * 1024
+"""How much traffic may delay a response on the inbound link without being accounted
+for, since request bodies are accounted for only once they have been read."""
 
-FIRST_ANSWER_CHECK_MS = 2.0
+FIRST_RESPONSE_POLL_MS = 2.0
 
 COLD_SLOWDOWN = 2.0
-"""How much longer work takes on a cold endpoint, as far as it is known."""
+"""The estimated factor by which requests take longer on a cold endpoint."""
 
 UNHEALTHY_COST = 10.0
 
-MAX_SILENT_ANSWERS = 10
+MAX_RESPONSES_WITHOUT_LOAD = 10
 
-ASK_AGAIN_MS = 2_000.0
+REPROBE_INTERVAL_MS = 2_000.0
 
 
 @dataclass(slots=True)
-class Answer:
-    """What one endpoint answered to a probe.
+class ProbeResult:
+    """The response of one endpoint to a probe.
 
-    ``slowdown`` is what its load lets expect. ``cost`` orders the endpoints: it adds
-    what this entry holds against one, which says nothing about the time to wait.
+    ``slowdown`` is what to expect from the reported load. ``cost`` ranks the endpoints:
+    it adds penalties for failures, remote zones and an unhealthy status, which say
+    nothing about the expected latency.
     """
 
     endpoint: Endpoint
@@ -64,38 +65,39 @@
 
 
 @dataclass(slots=True)
-class ServiceState:
-    """What an entry found out about one service by asking.
+class ServiceProbeState:
+    """What an entry knows about one service from its probes.
 
-    ``n_silent`` counts health answers without a load since the last one with it.
+    ``n_without_load`` is the number of health responses without a load since the last
+    one with a load.
     """
 
-    n_silent: int = 0
-    asked_again_at: Instant = Instant(0.0)
-    probe_ms: float = 4.0
+    n_without_load: int = 0
+    last_reprobe_at: Instant = Instant(0.0)
+    mean_probe_ms: float = 4.0
     least_slowdown: float = 1.0
-    searched_at: Instant = Instant(0.0)
+    last_search_at: Instant = Instant(0.0)
 
-    def note_report(self, has_load: bool) -> None:
-        """Count one health answer."""
-        self.n_silent = 0 if has_load else self.n_silent + 1
+    def record_health_response(self, has_load: bool) -> None:
+        """Update the count of health responses without a load."""
+        self.n_without_load = 0 if has_load else self.n_without_load + 1
 
-    def tells_load(self, now: Instant) -> bool:
-        """Return whether asking the servers of this service is worth while.
+    def should_probe(self, now: Instant) -> bool:
+        """Return whether the servers of this service should be probed.
 
-        A few answers without a load may be those of a faulty server, so it takes many
-        in a row, and now and then the servers are asked again.
+        A few responses without a load may come from one faulty server, so probing stops
+        only after many in a row. After that, servers are probed again periodically.
         """
-        if self.n_silent < MAX_SILENT_ANSWERS:
+        if self.n_without_load < MAX_RESPONSES_WITHOUT_LOAD:
             return True
-        if now < add_ms(self.asked_again_at, ASK_AGAIN_MS):
+        if now < add_ms(self.last_reprobe_at, REPROBE_INTERVAL_MS):
             return False
-        self.asked_again_at = now
+        self.last_reprobe_at = now
         return True
 
 
 class Prober:
-    """Asks endpoints for their load."""
+    """Probes endpoints for their load."""
 
     def __init__(
         self,
@@ -118,33 +120,33 @@
         self._link = link
         self._requests: dict[tuple[str, str], OutgoingRequest] = {}
 
-    async def ask(
+    async def probe(
         self,
         service: str,
-        state: ServiceState,
+        state: ServiceProbeState,
         endpoints: list[Endpoint],
-        is_patient: bool,
-    ) -> list[Answer]:
-        """Ask endpoints for their load at the same time.
+        uses_longest_wait: bool,
+    ) -> list[ProbeResult]:
+        """Probe endpoints for their load concurrently.
 
-        ``is_patient`` gives them the longest time to answer, for a search in which
-        the ones asked before stayed silent.
+        ``uses_longest_wait`` allows them the longest time to respond. It is meant for a
+        search in which no endpoint has responded to earlier probes.
         """
         started_at = self._clock()
         wait_ms = min(
-            max(PROBE_WAIT_FACTOR * state.probe_ms, MIN_PROBE_WAIT_MS),
+            max(PROBE_WAIT_FACTOR * state.mean_probe_ms, MIN_PROBE_WAIT_MS),
             MAX_PROBE_WAIT_MS,
         )
-        if is_patient:
-            wait_ms = MAX_PROBE_WAIT_MS + self._link.transfer_ms(UNSEEN_BYTES)
-        # What the own link has queued says nothing of the endpoints.
+        if uses_longest_wait:
+            wait_ms = MAX_PROBE_WAIT_MS + self._link.transfer_ms(UNSEEN_INBOUND_BYTES)
+        # The backlog of this entry's own link must not count against the endpoints.
         backlog_ms = self._link.backlog_ms(started_at)
         wait_ms += backlog_ms
         until = add_ms(started_at, wait_ms)
         self._metrics.count("probes_total", len(endpoints), service=service)
         pending = []
         for endpoint in endpoints:
-            connection = await self._connections.start(endpoint)
+            connection = await self._connections.acquire(endpoint)
             if connection is not None:
                 pending.append((endpoint, connection))
         sent = [
@@ -152,26 +154,26 @@
             for endpoint, connection in pending
             if await self._send(service, endpoint, connection, until)
         ]
-        if is_patient:
+        if uses_longest_wait:
             until = await self._wait_for_any([c for _, c in sent], until)
-        answers = []
+        results = []
         for endpoint, connection in sent:
-            answer = await self._read(state, endpoint, connection, until)
-            if answer is not None:
-                answers.append(answer)
-        if answers:
+            result = await self._receive(state, endpoint, connection, until)
+            if result is not None:
+                results.append(result)
+        if results:
             elapsed_ms = max(0.0, self._clock() - started_at - backlog_ms)
-            state.probe_ms += 0.1 * (elapsed_ms - state.probe_ms)
-        return answers
+            state.mean_probe_ms += 0.1 * (elapsed_ms - state.mean_probe_ms)
+        return results
 
     async def _wait_for_any(
         self, connections: list[BackendConnection], until: Instant
     ) -> Instant:
-        """Wait for the first answer; return how long to wait for the others."""
+        """Wait for the first response; return until when to wait for the others."""
         while self._clock() < until:
             if any(connection.has_input() for connection in connections):
                 break
-            await curio.sleep(FIRST_ANSWER_CHECK_MS / 1000)
+            await curio.sleep(FIRST_RESPONSE_POLL_MS / 1000)
         return min(until, add_ms(self._clock(), MIN_PROBE_WAIT_MS))
 
     async def _send(
@@ -190,7 +192,7 @@
                     return True
         except (OSError, curio.TaskTimeout):
             pass
-        await self._connections.fail(endpoint, connection)
+        await self._connections.record_failure(endpoint, connection)
         return False
 
     def _request(self, service: str, endpoint: Endpoint) -> OutgoingRequest:
@@ -208,54 +210,57 @@
             self._requests[key] = request
         return request
 
-    async def _read(
+    async def _receive(
         self,
-        state: ServiceState,
+        state: ServiceProbeState,
         endpoint: Endpoint,
         connection: BackendConnection,
         until: Instant,
-    ) -> Answer | None:
+    ) -> ProbeResult | None:
         left_ms = max(1.0, remaining_ms(until, self._clock()))
         response: Response | Failure = Failure.LOST
         try:
             async with curio.timeout_after(left_ms / 1000):
-                response = await connection.receive(self._is_health_answer)
+                response = await connection.receive(self._is_health_response)
         except curio.TaskTimeout:
             pass
         if isinstance(response, Failure):
-            await self._connections.fail(endpoint, connection)
+            await self._connections.record_failure(endpoint, connection)
             return None
-        return await self._judge(state, endpoint, connection, response)
+        return await self._evaluate(state, endpoint, connection, response)
 
-    def _is_health_answer(self, response: Response) -> bool:
-        """Return False for a late second copy of the answer to a request."""
+    def _is_health_response(self, response: Response) -> bool:
+        """Return False for a late duplicate of the response to a request."""
         return find_header(response.headers, self._dialect.request_id) is None
 
-    async def _judge(
+    async def _evaluate(
         self,
-        state: ServiceState,
+        state: ServiceProbeState,
         endpoint: Endpoint,
         connection: BackendConnection,
         response: Response,
-    ) -> Answer | None:
-        """Read what a health answer says."""
+    ) -> ProbeResult | None:
+        """Apply a health response to the state of the endpoint; return its result.
+
+        Return None if the endpoint may not get requests.
+        """
         dialect = self._dialect
         now = self._clock()
         endpoint_id = endpoint.announcement.endpoint_id
         instance = find_header(response.headers, dialect.instance)
         if response.status == 421 or instance not in (None, endpoint_id.encode()):
-            await self._connections.give_back(endpoint, connection)
+            await self._connections.release(endpoint, connection)
             self._view.forget(endpoint_id, "other_instance")
             return None
         endpoint.health.mark_reachable()
         take_notices(endpoint, response, dialect, self._view, self._rng)
         if not self._view.may_get_work(endpoint):
-            await self._connections.give_back(endpoint, connection)
+            await self._connections.release(endpoint, connection)
             return None
         value = find_header(response.headers, dialect.server_load)
         load = None if value is None else dialect.parse_load(value)
         if response.status == 200:
-            state.note_report(load is not None)
+            state.record_health_response(load is not None)
         left = find_header(response.headers, dialect.warmup_left_ms)
         if response.status == 200:
             self._view.confirm(endpoint, _milliseconds(left))
@@ -269,7 +274,7 @@
         if endpoint.announcement.zone != self._zone:
             cost += REMOTE_ZONE_SLOWDOWN
         if response.status != 200:
-            # A health answer may be wrong, so the endpoint stays the last choice.
+            # A health response may be wrong, so the endpoint remains as a last resort.
             endpoint.health.fail(1.0, now)
             cost += UNHEALTHY_COST
         if not connection.is_clean:
@@ -280,16 +285,16 @@
             if fresh is None:
                 return None
             connection = fresh
-        return Answer(endpoint, connection, load, slowdown, cost, is_cold)
+        return ProbeResult(endpoint, connection, load, slowdown, cost, is_cold)
 
     def forget_absent(self) -> None:
-        """Drop the questions to endpoints that left."""
+        """Drop the prepared requests to endpoints that are no longer known."""
         known = self._view.endpoints
         self._requests = {k: v for k, v in self._requests.items() if k[0] in known}
 
 
 def _milliseconds(value: bytes | None) -> float:
-    """Return a header's number; 0 when it is missing or malformed."""
+    """Return the number in a header, or 0 if it is missing or malformed."""
     try:
         return max(0.0, float(value or 0))
     except ValueError:
--- a/pollenfold/gateway/settings.py
+++ b/pollenfold/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Limits that the balancer of an entry keeps to."""
+"""Settings of the balancer of an entry."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BalancerSettings:
-    """Limits that hold for all entries together, and who this entry is."""
+    """The identity of this entry, and limits that all entries share."""
 
     entry_id: str
     zone: str
--- a/pollenfold/tests/gateway/test_backend.py
+++ b/pollenfold/tests/gateway/test_backend.py
@@ -33,7 +33,7 @@
         assert await connection.send(request)
         response = await connection.receive(lambda response: True)
         assert response.status == 413
-        await pool.give_back(connection)
+        await pool.release(connection)
         assert pool.n_open == 0
 
     run(main)
--- a/pollenfold/tests/gateway/test_forward.py
+++ b/pollenfold/tests/gateway/test_forward.py
@@ -4,7 +4,7 @@
 import pytest
 
 from pollenfold.core.orders import Orders
-from pollenfold.gateway.probes import MAX_PROBE_WAIT_MS, ServiceState
+from pollenfold.gateway.probes import MAX_PROBE_WAIT_MS, ServiceProbeState
 from pollenfold.observe.clock import system_clock
 from pollenfold.tests.gateway.conftest import Backend, answer
 
@@ -211,9 +211,11 @@
         endpoints = list(path.view.endpoints.values())
         prober = path.balancer._prober
         started_at = system_clock()
-        answers = await prober.ask("s", ServiceState(), endpoints, is_patient=True)
+        results = await prober.probe(
+            "s", ServiceProbeState(), endpoints, uses_longest_wait=True
+        )
         elapsed_ms = system_clock() - started_at
-        assert [a.endpoint.announcement.endpoint_id for a in answers] == ["slow"]
+        assert [r.endpoint.announcement.endpoint_id for r in results] == ["slow"]
         assert elapsed_ms < MAX_PROBE_WAIT_MS
 
     with_path(body, Backend("dead1"), Backend("slow"), Backend("dead2"))
--- a/pollenfold/tests/gateway/test_search.py
+++ b/pollenfold/tests/gateway/test_search.py
@@ -1,6 +1,6 @@
 """The search of an endpoint: what it remembers, and what it prefers."""
 
-from pollenfold.gateway.probes import ServiceState
+from pollenfold.gateway.probes import ServiceProbeState
 
 from .conftest import Backend
 
@@ -37,11 +37,13 @@
     async def body(path, near, far):
         path.announce(far, sequence=9, zone="b")
         endpoints = [path.view.endpoints["far"], path.view.endpoints["near"]]
-        answers = await path.balancer._prober.ask("s", ServiceState(), endpoints, False)
-        best = min(answers, key=lambda answer: answer.cost)
-        assert len(answers) == 2
+        results = await path.balancer._prober.probe(
+            "s", ServiceProbeState(), endpoints, False
+        )
+        best = min(results, key=lambda result: result.cost)
+        assert len(results) == 2
         assert best.endpoint.announcement.endpoint_id == "near"
-        assert answers[0].slowdown == answers[1].slowdown
+        assert results[0].slowdown == results[1].slowdown
 
     with_path(body, near, far)
 
