--- a/pollenfold/tests/gateway/test_search.py
+++ b/pollenfold/tests/gateway/test_search.py
@@ -1,16 +1,16 @@
-"""The search of an endpoint: what it remembers, and what it prefers."""
+"""Endpoint search: reuse of the last result, and preference for the own zone."""
 
-from pollenfold.gateway.probes import ServiceState
+from pollenfold.gateway.probes import ServiceProbeState
 
 from .conftest import Backend
 
 SLOW = b"6,6,6,500"
 
 
-def test_search_that_just_found_only_slow_servers_isn_t_repeated(with_path):
+def test_search_is_not_repeated_right_after_it_found_only_slow_servers(with_path):
     """Load pattern: a burst on a service whose servers are all slow.
 
-    Guards against questions for each request of the burst, which are load themselves.
+    Guards against probes for each request of the burst, which add to the overload.
     """
     backend = Backend("s1", load=SLOW)
 
@@ -30,25 +30,27 @@
     return path.lines
 
 
-def test_server_of_the_own_zone_wins_where_two_are_alike(with_path):
-    """Guards against requests that cross zones, which costs bytes, for nothing."""
+def test_server_of_the_own_zone_is_preferred_at_equal_load(with_path):
+    """Guards against needless traffic between zones."""
     near, far = Backend("near"), Backend("far")
 
     async def body(path, near, far):
         path.announce(far, sequence=9, zone="b")
         endpoints = [path.view.endpoints["far"], path.view.endpoints["near"]]
-        answers = await path.balancer._prober.ask("s", ServiceState(), endpoints, False)
-        best = min(answers, key=lambda answer: answer.cost)
-        assert len(answers) == 2
+        results = await path.balancer._prober.probe(
+            "s", ServiceProbeState(), endpoints, False
+        )
+        best = min(results, key=lambda result: result.cost)
+        assert len(results) == 2
         assert best.endpoint.announcement.endpoint_id == "near"
-        assert answers[0].slowdown == answers[1].slowdown
+        assert results[0].slowdown == results[1].slowdown
 
     with_path(body, near, far)
 
 
-def test_other_zones_are_not_asked_while_the_own_zone_is_quick(with_path):
-    """Guards against questions and requests that cross zones though servers nearby
-    have room."""
+def test_other_zones_are_not_probed_while_the_own_zone_is_fast(with_path):
+    """Guards against probes and requests to other zones while servers of the own zone
+    have spare capacity."""
     near = [Backend(f"near{number}") for number in range(3)]
     far = [Backend(f"far{number}") for number in range(3)]
 
