--- a/pollenfold/gateway/daemon.py
+++ b/pollenfold/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway daemon: callers, readiness, metrics and the feeds."""
+"""The gateway daemon: caller port, readiness, metrics and control feeds."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
 from .view import FleetView
 
 READY_SETTLE_MS = 1_800.0
-"""How long an entry without endpoints waits for their first announcements."""
+"""How long a starting entry without known endpoints stays unready."""
 
-FIRST_ORDERS_WAIT_MS = 400.0
-"""How long after its start an entry keeps requests for want of a first configuration.
+FIRST_CONFIGURATION_WAIT_MS = 400.0
+"""How long after its start an entry holds requests until it has a configuration.
 
-The first one comes a round trip or two after the start. A caller that is refused
-meanwhile has lost one of its few attempts."""
+The first configuration arrives one or two round trips after the start. Refusing a
+request before that would use up one of the caller's few attempts."""
 
-FIRST_ORDERS_CHECK_MS = 5.0
+FIRST_CONFIGURATION_POLL_MS = 5.0
 
 STOP_NOTICE_MS = 3_000.0
-"""How long a stopping entry goes on accepting, until the balancer has left it out."""
+"""How long a stopping entry accepts connections, until the balancer drops it."""
 
 STOP_MARGIN_MS = 500.0
 
@@ -53,12 +53,13 @@
 class GatewaySettings:
     """Addresses and limits of one entry.
 
-    ``caller_listener`` listens for callers already, so that none is refused while
-    the entry starts.
-    ``seeds`` and ``reload`` belong to the settings source: the hosts of control
-    replicas, and what reads them anew, which raises ValueError when it can't use them.
-    ``link_bytes_per_ms`` is the rate of the VM's own link, 0 when it isn't known.
-    ``grace_ms`` is the time between the signal to stop and the end.
+    ``caller_listener`` is already listening, so that no caller is refused while the
+    entry starts.
+    ``seeds`` and ``reload`` belong to the settings source: ``seeds`` returns the hosts
+    of control replicas, ``reload`` reads the settings again and raises ValueError when
+    they are invalid.
+    ``link_bytes_per_ms`` is the bandwidth of the VM's own link, 0 when unknown.
+    ``grace_ms`` is the time between the stop signal and the end of the process.
     """
 
     entry_id: str
@@ -81,7 +82,7 @@
 
 
 class Gateway:
-    """The parts of one entry."""
+    """The components of one entry."""
 
     def __init__(
         self,
@@ -153,7 +154,7 @@
         )
 
     def unready_kind(self) -> ErrorKind | None:
-        """Return why the entry should get no new connections, or None."""
+        """Return why the entry should receive no new connections, or None."""
         if self.is_stopping:
             return ErrorKind.STOPPING
         if self.view.configuration is None:
@@ -164,29 +165,29 @@
         return None
 
     async def handle_caller(self, request: Request) -> Response | None:
-        """Answer a caller; just after the start, wait for what it takes to do so."""
-        wait_until = add_ms(self.started_at, FIRST_ORDERS_WAIT_MS)
+        """Handle a caller's request; just after the start, wait for routing data."""
+        wait_until = add_ms(self.started_at, FIRST_CONFIGURATION_WAIT_MS)
         while not self._can_route() and system_clock() < wait_until:
-            await curio.sleep(FIRST_ORDERS_CHECK_MS / 1000)
+            await curio.sleep(FIRST_CONFIGURATION_POLL_MS / 1000)
         return await self.forwarder.handle(request)
 
     def _can_route(self) -> bool:
         return self.view.configuration is not None and bool(self.view.by_service)
 
     def reload(self) -> None:
-        """Read the settings anew."""
+        """Reload the settings."""
         settings = self.settings
         reload_settings(settings.reload, settings.seeds, self.log)
 
     async def handle_platform(self, request: Request) -> Response:
-        """Answer the platform's question for readiness, or with the metrics."""
+        """Respond to a readiness check of the platform or to a metrics request."""
         if request.path == "/metrics":
             self.metrics.set("configuration_version", self.view.orders.version)
             self.metrics.set("orders_index", self.view.orders.index)
             self.metrics.set("feeds_connected", self.feeds.n_connected)
             self.metrics.set("requests_in_flight", self.callers.n_in_flight)
             self.metrics.set("endpoints", len(self.view.endpoints))
-            self.metrics.set("endpoints_resting", self.view.n_resting)
+            self.metrics.set("endpoints_resting", self.view.n_backing_off)
             self.metrics.set("entries", self.view.fleet.get(system_clock()))
             return metrics_response(self.metrics, self.log)
         if request.path != self.settings.ready_path:
@@ -204,11 +205,11 @@
     dialect: Dialect,
     decode: Callable[[str], RoutingConfiguration],
 ) -> None:
-    """Run an entry until SIGTERM or SIGINT, then stop without cutting requests off.
+    """Run an entry until SIGTERM or SIGINT, then stop without aborting requests.
 
-    Raise OSError when an address is taken, and RuntimeError when a part ends.
+    Raise OSError when an address is in use, and RuntimeError when a task ends early.
     """
-    # The kernel warns of each timeout that a response just met.
+    # Curio's kernel logs a warning for each timeout that a response only just met.
     logging.getLogger("curio").setLevel(logging.ERROR)
     gateway = Gateway(settings, dialect, decode)
     metrics = HttpServer(gateway.handle_platform)
@@ -223,8 +224,8 @@
         await group.spawn(gateway.feeds.run)
         await group.spawn(gateway.balancer.run)
         await group.spawn(gateway.log.run)
-        # What exists now lives as long as the process; freezing it keeps the
-        # collector from walking it during calls.
+        # The objects that exist now live as long as the process; freezing them keeps
+        # the garbage collector from traversing them while requests are handled.
         gc.collect()
         gc.freeze()
         gateway.log.state("started", role="entry", zone=settings.zone, port=caller_port)
@@ -235,14 +236,14 @@
 
 
 async def _drain(gateway: Gateway) -> None:
-    """Finish a planned stop: first unready, then closed, then idle, then the end."""
+    """Shut down: report unready, close the listener, wait for requests in flight."""
     gateway.is_stopping = True
     stop_at = system_clock() + gateway.settings.grace_ms - STOP_MARGIN_MS
     gateway.callers.announce_stop()
     gateway.log.state("stopping", n_in_flight=gateway.callers.n_in_flight)
     await curio.sleep(STOP_NOTICE_MS / 1000)
     await gateway.callers.stop()
-    left_ms = max(0.0, stop_at - system_clock())
-    async with curio.ignore_after(left_ms / 1000):
+    remaining_ms = max(0.0, stop_at - system_clock())
+    async with curio.ignore_after(remaining_ms / 1000):
         await gateway.callers.wait_idle()
     gateway.log.state("stopped", n_in_flight=gateway.callers.n_in_flight)
--- a/pollenfold/gateway/dialect.py
+++ b/pollenfold/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""What a deployment calls the headers that callers and backend servers exchange."""
+"""The deployment's names for the headers of callers and backend servers."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Dialect:
-    """Header names in lower case, and the functions that read their values.
+    """Header names in lower case, and the functions that parse their values.
 
-    ``deadline_ms`` says how long the sender waits. With ``expected_instance`` any
-    other instance at the address refuses the request. ``not_executed`` marks an
-    answer of a server that did not run the request, ``leaving`` with the value 1 any
-    answer of a server that leaves. ``parse_load`` returns None for a
-    value that it can't read. ``is_genuine`` tells whether a response of a backend
-    server is its own whole answer.
+    ``deadline_ms`` is how long the sender waits. ``expected_instance`` names the
+    instance that may execute the request; any other instance at the address refuses
+    it. ``not_executed`` marks a response of a server that did not execute the request,
+    ``leaving`` with the value 1 any response of a server that is leaving.
+    ``parse_load`` returns None for a malformed value. ``is_genuine`` returns whether a
+    response was produced by the backend server itself and is complete.
     """
 
     request_id: bytes
--- a/pollenfold/gateway/feed.py
+++ b/pollenfold/gateway/feed.py
@@ -1,4 +1,4 @@
-"""One open feed of a control replica, as its reader sees it."""
+"""The subscriber's side of one open feed of a control replica."""
 
 from __future__ import annotations
 
@@ -11,43 +11,45 @@
 from ..wire.lines import encode_line
 
 SEND_TIMEOUT_MS = 600.0
-CUT_OFF_AFTER_MS = 2_000.0
-"""How long a replica hears no majority before others are asked for news.
+ISOLATED_AFTER_MS = 2_000.0
+"""How long a replica is out of contact with a majority before it counts as isolated.
 
-After a restart of all replicas each hears the others one by one."""
+After a restart of all replicas, each reconnects to the others one by one."""
 
 
 class Feed:
     """One open feed.
 
-    ``asked_index`` is the highest index asked for. ``zone`` is that of the
-    replica, once its first line was read, and ``n_endpoints`` how many endpoints it
-    knew then, None when it doesn't say. ``alone_since`` is since when it hears no
-    majority of the replicas, ``complete_since`` since when it hears all others.
+    ``requested_index`` is the highest index for which the replicated state was
+    requested. ``zone`` is the zone of the replica, known from its first line;
+    ``n_endpoints`` is how many endpoints the replica knew at that time, or None when it
+    didn't report a number. ``no_majority_since`` is since when the replica receives
+    from no majority of the replicas, ``complete_since`` since when it receives from all
+    others.
     """
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
         self._lock = curio.Lock()
-        self.asked_index = 0
+        self.requested_index = 0
         self.is_new = True
         self.zone = ""
         self.n_endpoints: int | None = None
-        self.alone_since: Instant | None = None
+        self.no_majority_since: Instant | None = None
         self.complete_since: Instant | None = None
 
-    def take_n_peers(self, n_peers: int, n_replicas: int, now: Instant) -> None:
-        """Take how many other replicas the sender hears, of all ``n_replicas``."""
+    def record_n_peers(self, n_peers: int, n_replicas: int, now: Instant) -> None:
+        """Record from how many others of ``n_replicas`` the sender receives."""
         has_majority = 2 * (n_peers + 1) > n_replicas
         if has_majority:
-            self.alone_since = None
-        elif self.alone_since is None:
-            self.alone_since = now
-
-    def is_cut_off(self, now: Instant) -> bool:
-        """Return whether the replica heard too few others for some time."""
-        since = self.alone_since
-        return since is not None and now >= add_ms(since, CUT_OFF_AFTER_MS)
+            self.no_majority_since = None
+        elif self.no_majority_since is None:
+            self.no_majority_since = now
+
+    def is_isolated(self, now: Instant) -> bool:
+        """Return whether the replica has been without a majority for some time."""
+        since = self.no_majority_since
+        return since is not None and now >= add_ms(since, ISOLATED_AFTER_MS)
 
     async def send(self, message: dict[str, Any]) -> None:
         """Send one line; raise OSError or TaskTimeout when that fails."""
--- a/pollenfold/gateway/feeds.py
+++ b/pollenfold/gateway/feeds.py
@@ -1,9 +1,10 @@
-"""The feeds of the control replicas, as an entry reads them.
+"""An entry's subscriptions to the feeds of the control replicas.
 
-An entry holds one connection to each control replica. Each tells the index of its
-orders at once when it changes and regularly besides; the entry asks for the orders
-themselves only where it lacks them, from its own zone first. One replica, the source,
-also tells the news of endpoints and entries (``core/news_source.py``).
+An entry holds one connection to each control replica. Each replica announces the index
+of its replicated state immediately when it changes and also at regular intervals; the
+entry requests the state itself only when its own is older, first from a replica of its
+own zone. One replica, the update source, also sends updates on endpoints and entries
+(``core/news_source.py``).
 """
 
 from __future__ import annotations
@@ -24,50 +25,51 @@
 from .view import FleetView
 
 CONNECT_TIMEOUTS_MS = (60.0, 120.0, 250.0)
-"""For the first attempts and all later ones. A VM without power doesn't answer, and
-what was sent to it is sent again only after a second; a new attempt finds sooner that
-it is back."""
+"""For the first, the second and all later attempts. A VM without power sends no reply,
+and TCP retransmits only after a second; a new attempt detects its return earlier."""
 
 CHECK_INTERVAL_MS = 250.0
 SETTLED_CHECK_INTERVAL_MS = 1_000.0
-"""How often a process looks for replicas to connect to: often while it lacks some."""
+"""How often a process checks for replicas to connect to: more often while some are
+missing."""
 
-SILENCE_LIMIT_MS = 1_500.0
-"""Three missed lines; then the connection is opened anew, since it may be dead
+READ_TIMEOUT_MS = 1_500.0
+"""Three missed lines; then the subscriber reconnects, since a connection may be dead
 without a reset."""
 
-SPARSE_SILENCE_LIMIT_MS = 3_000.0
-"""The same for a replica that isn't the source; it tells less often."""
+SPARSE_READ_TIMEOUT_MS = 3_000.0
+"""The same for a replica that isn't the update source and sends less often."""
 
 RETRY_PAUSE_MS = 300.0
 FIRST_RETRY_PAUSE_MS = 50.0
-"""The pause while no feed is open, when this entry may know nothing yet."""
+"""The pause while no feed is open, since this entry may have no state at all yet."""
 
 FEED_ERRORS = (ValueError, KeyError, TypeError, IndexError, OverflowError)
-"""What a line with other fields than expected may raise; it ends the feed, which is
-then opened anew."""
+"""Errors that a line with unexpected fields may raise; they end the feed, which is then
+reopened."""
 
 LIST_INTERVAL_MS = 10_000.0
-"""How often a replica of the own zone is asked for the list of all endpoints."""
+"""How often the full list of endpoints is requested from the update source."""
 
 PING_INTERVAL_MS = 2_000.0
-FIRST_LIST_WAIT_MS = 300.0
-"""How long a replica that isn't the source waits to be asked for its list first."""
+FIRST_LIST_DELAY_MS = 300.0
+"""The delay of the first list request to a replica that isn't the update source, whose
+list is requested immediately."""
 
-LIST_PAUSE_MS = 1_000.0
-"""The pause between two requests for the list of all endpoints.
+MIN_LIST_INTERVAL_MS = 1_000.0
+"""The minimum time between two requests for the full list of endpoints.
 
-Each replica knows nearly all of them, and the lists of all replicas at once would keep
-a slow link and a small core busy for the time in which an entry starts to serve."""
+Each replica knows nearly all endpoints. Requesting the lists of all replicas at once
+would saturate a slow link and a small core while a starting entry begins to serve."""
 
-OTHER_ZONE_WAIT_MS = 120.0
-"""How long another zone's replica waits to be asked for orders that a replica of the
-own zone may deliver."""
+REMOTE_ZONE_DELAY_MS = 120.0
+"""How long the entry waits before it requests state from a replica of another zone,
+since a replica of its own zone may deliver it meanwhile."""
 
 
 @dataclass(frozen=True, slots=True)
 class FeedIdentity:
-    """What a reader says of itself; ``role`` is ``entry`` or ``control``."""
+    """How a subscriber identifies itself; ``role`` is ``entry`` or ``control``."""
 
     name: str
     zone: str
@@ -75,10 +77,11 @@
 
 
 class Feeds:
-    """Keeps one feed for each control replica.
+    """Maintains one feed from each control replica.
 
-    ``seeds`` returns the hosts to try besides those that the feeds name; it may
-    change while the process runs. ``port`` is the same on all VMs.
+    ``seeds`` returns the hosts to connect to in addition to those that the feeds
+    report; the result may change while the process runs. ``port`` is the same on all
+    VMs.
     """
 
     def __init__(
@@ -103,8 +106,8 @@
         self._source: str | None = None
         self._source_since = clock()
         self._next_list_at = clock()
-        self._n_promised = 0
-        """How many endpoints a replica knew whose list is on its way or came."""
+        self._n_requested_endpoints = 0
+        """The most endpoints that a replica knew whose list was requested."""
 
     @property
     def n_connected(self) -> int:
@@ -112,17 +115,19 @@
         return len(self._connected)
 
     async def run(self) -> None:
-        """Keep the feeds open until cancelled."""
+        """Keep all feeds open until cancelled."""
         while True:
             wanted = set(self._seeds()) | set(self._view.control_hosts)
             wanted.discard(self._own_host)
             for host in wanted - set(self._tasks):
-                self._tasks[host] = await curio.spawn(self._follow, host, daemon=True)
+                self._tasks[host] = await curio.spawn(
+                    self._maintain_feed, host, daemon=True
+                )
             for host in set(self._tasks) - wanted:
                 if host not in self._connected:
                     await self._tasks.pop(host).cancel()
             await self._choose_source()
-            self._note_completeness()
+            self._update_connected_since()
             self._view.n_connected = len(self._connected)
             self._view.expire()
             is_settled = wanted <= set(self._connected)
@@ -130,36 +135,37 @@
             await curio.sleep(pause_ms / 1000)
 
     async def _choose_source(self) -> None:
-        """Take the news from the best of the open feeds; replicas take all."""
+        """Choose the best open feed as update source; replicas use all feeds."""
         if self._identity.role != "entry":
             return
         now = self._clock()
         sources = [
-            Source(host, feed.zone, feed.is_cut_off(now))
+            Source(host, feed.zone, feed.is_isolated(now))
             for host, feed in self._connected.items()
         ]
         best = choose_source(sources, self._identity.name, self._identity.zone)
         if best is None or best == self._source:
             return
-        before, self._source = self._source, best
+        previous, self._source = self._source, best
         self._source_since = now
-        self._log.state("news_source", control=best, before=before or "none")
+        self._log.state("news_source", control=best, before=previous or "none")
         feed = self._connected[best]
-        # The reader of a feed notices a broken connection.
+        # The task that reads the feed detects a broken connection.
         with contextlib.suppress(OSError, curio.TaskTimeout):
             await feed.send({"news": 1})
             if now >= self._next_list_at and feed.n_endpoints != 0:
                 await self._request_list(feed)
-        former = self._connected.get(before or "")
+        former = self._connected.get(previous or "")
         if former is not None:
             with contextlib.suppress(OSError, curio.TaskTimeout):
                 await former.send({"news": 0})
 
-    def _note_completeness(self) -> None:
-        """Note since when this process hears of all endpoints.
+    def _update_connected_since(self) -> None:
+        """Update since when this process receives the announcements of all endpoints.
 
-        Each endpoint announces itself to one replica, so silence means something only
-        while the source hears all replicas, or a replica all others.
+        Each endpoint announces itself to one replica only, so missing announcements
+        are meaningful only while the update source is in contact with all replicas or,
+        on a replica, while this replica is.
         """
         view = self._view
         if self._identity.role != "entry":
@@ -175,8 +181,8 @@
         else:
             view.connected_since = max(source.complete_since, self._source_since)
 
-    async def _follow(self, host: str) -> None:
-        """Read the feed of one replica, again and again."""
+    async def _maintain_feed(self, host: str) -> None:
+        """Read the feed of one replica, and reconnect whenever it ends."""
         n_failures = 0
         while True:
             detail = "closed"
@@ -185,24 +191,24 @@
             try:
                 await self._read(host, CONNECT_TIMEOUTS_MS[position])
             except curio.TaskTimeout:
-                detail = "no connection in time"
+                detail = "connection timed out"
             except OSError as error:
                 detail = str(error) or type(error).__name__
             except FEED_ERRORS as error:
                 detail = f"malformed line: {error!r}"
-            if self._lose(host):
+            if self._remove_feed(host):
                 n_failures = 0
                 await self._choose_source()
                 self._log.state("feed_lost", control=host, detail=detail)
             pause_ms = RETRY_PAUSE_MS if self._connected else FIRST_RETRY_PAUSE_MS
             await curio.sleep(pause_ms / 1000)
 
-    def _lose(self, host: str) -> bool:
-        """Forget the feed of a replica; return whether it was open."""
+    def _remove_feed(self, host: str) -> bool:
+        """Remove the feed of a replica; return whether it was open."""
         if self._connected.pop(host, None) is None:
             return False
-        # The list that it promised may have been lost with it.
-        self._n_promised = 0
+        # A requested list may have been lost with the connection.
+        self._n_requested_endpoints = 0
         if host == self._source:
             self._source = None
         return True
@@ -220,36 +226,36 @@
             }
             feed = Feed(sock)
             await feed.send(hello)
-            helpers = [await curio.spawn(self._ping, feed, daemon=True)]
+            tasks = [await curio.spawn(self._ping, feed, daemon=True)]
             try:
-                async for line in read_lines(sock, lambda: self._silence_ms(host)):
+                async for line in read_lines(sock, lambda: self._read_timeout_ms(host)):
                     if host not in self._connected:
                         feed.zone = str(line.get("zone", ""))
                         if "n_endpoints" in line:
                             feed.n_endpoints = int(line["n_endpoints"])
                         self._connected[host] = feed
                         self._log.state("feed_opened", control=host)
-                        asking = self._ask_list(feed, host)
-                        helpers.append(await curio.spawn(asking, daemon=True))
-                    index = self._take(line, host, feed)
+                        list_requests = self._request_lists(feed, host)
+                        tasks.append(await curio.spawn(list_requests, daemon=True))
+                    index = self._apply_line(line, host, feed)
                     if feed.is_new:
                         feed.is_new = False
                         await self._choose_source()
-                        await self._ask_better_list(feed)
-                    if index > max(self._view.orders.index, feed.asked_index):
-                        feed.asked_index = index
-                        await self._ask(feed)
+                        await self._request_larger_list(feed)
+                    if index > max(self._view.orders.index, feed.requested_index):
+                        feed.requested_index = index
+                        await self._request_state(feed)
             finally:
-                for helper in helpers:
-                    await helper.cancel()
+                for task in tasks:
+                    await task.cancel()
 
-    def _silence_ms(self, host: str) -> float:
-        """Return for how long the replica may be silent."""
-        is_told_all = host == self._source or self._identity.role != "entry"
-        return SILENCE_LIMIT_MS if is_told_all else SPARSE_SILENCE_LIMIT_MS
+    def _read_timeout_ms(self, host: str) -> float:
+        """Return how long the replica may send nothing before the feed is closed."""
+        gets_all_updates = host == self._source or self._identity.role != "entry"
+        return READ_TIMEOUT_MS if gets_all_updates else SPARSE_READ_TIMEOUT_MS
 
-    def _take(self, line: dict[str, Any], host: str, feed: Feed) -> int:
-        """Take one line; return the index of the sender's orders, or 0."""
+    def _apply_line(self, line: dict[str, Any], host: str, feed: Feed) -> int:
+        """Apply one line; return the index of the sender's replicated state, or 0."""
         view = self._view
         if "control" in line:
             view.take_control_hosts(line["control"])
@@ -264,7 +270,7 @@
         if "joined" in line and host == self._source:
             view.entry_ids = (view.entry_ids | set(line["joined"])) - set(line["left"])
         if "n_peers" in line:
-            feed.take_n_peers(
+            feed.record_n_peers(
                 int(line["n_peers"]), len(view.control_hosts), self._clock()
             )
         if "complete_ms" in line:
@@ -276,64 +282,66 @@
             view.fleet.report(int(line["n_entries"]), self._clock())
         return int(line.get("index", 0))
 
-    async def _ask(self, feed: Feed) -> None:
-        """Ask for the orders, at once in the own zone and after a while elsewhere."""
+    async def _request_state(self, feed: Feed) -> None:
+        """Request the replicated state: immediately in the own zone, else delayed."""
         zone = self._identity.zone
         zones = {f.zone for f in self._connected.values()}
         if feed.zone == zone or zone not in zones:
-            await feed.send(self._request_for_orders())
+            await feed.send(self._state_request())
         else:
-            await curio.spawn(self._ask_later, feed, daemon=True)
+            await curio.spawn(self._request_state_later, feed, daemon=True)
 
-    def _request_for_orders(self) -> dict[str, Any]:
+    def _state_request(self) -> dict[str, Any]:
         orders = self._view.orders
         return {"get": 1, "index": orders.index, "version": orders.version}
 
-    async def _ask_later(self, feed: Feed) -> None:
-        await curio.sleep(OTHER_ZONE_WAIT_MS / 1000)
-        if self._view.orders.index < feed.asked_index:
+    async def _request_state_later(self, feed: Feed) -> None:
+        await curio.sleep(REMOTE_ZONE_DELAY_MS / 1000)
+        if self._view.orders.index < feed.requested_index:
             with contextlib.suppress(OSError, curio.TaskTimeout):
-                # The reader of the feed notices a broken connection.
-                await feed.send(self._request_for_orders())
+                # The task that reads the feed detects a broken connection.
+                await feed.send(self._state_request())
 
-    async def _ask_list(self, feed: Feed, host: str) -> None:
-        """Ask for the endpoints that aren't known here, one replica after the other.
+    async def _request_lists(self, feed: Feed, host: str) -> None:
+        """Request the endpoints that aren't known here, from one replica at a time.
 
-        The source is asked again and again, so that news that got lost with a
-        connection or a replica arrive in the end.
+        The request to the update source is repeated, so that updates that were lost
+        with a connection or a replica arrive eventually.
         """
-        await curio.sleep(FIRST_LIST_WAIT_MS / 1000)
+        await curio.sleep(FIRST_LIST_DELAY_MS / 1000)
         is_first = True
         while True:
             if is_first or host == self._source:
                 while (wait_ms := remaining_ms(self._next_list_at, self._clock())) > 0:
                     await curio.sleep(wait_ms / 1000)
                 with contextlib.suppress(OSError, curio.TaskTimeout):
-                    # The reader of the feed notices a broken connection.
+                    # The task that reads the feed detects a broken connection.
                     await self._request_list(feed)
             is_first = False
             await curio.sleep(LIST_INTERVAL_MS / 1000)
 
-    async def _ask_better_list(self, feed: Feed) -> None:
-        """Ask for the list of a replica that knows more than was heard or promised.
+    async def _request_larger_list(self, feed: Feed) -> None:
+        """Request the list of a replica that knows more than was received or requested.
 
-        A replica that lost its disk knows no endpoint for a while, though it may be
-        the source. Waiting for the regular list would leave a starting entry without
-        endpoints until then.
+        A replica that lost its disk knows no endpoints for a while, and it may still be
+        the update source. Waiting for the regular list request would leave a starting
+        entry without endpoints until then.
         """
-        n_known = max(self._n_promised, self._view.n_endpoints)
+        n_known = max(self._n_requested_endpoints, self._view.n_endpoints)
         if (feed.n_endpoints or 0) > n_known:
             with contextlib.suppress(OSError, curio.TaskTimeout):
-                # The reader of the feed notices a broken connection.
+                # The task that reads the feed detects a broken connection.
                 await self._request_list(feed)
 
     async def _request_list(self, feed: Feed) -> None:
-        self._next_list_at = add_ms(self._clock(), LIST_PAUSE_MS)
-        self._n_promised = max(self._n_promised, feed.n_endpoints or 0)
+        self._next_list_at = add_ms(self._clock(), MIN_LIST_INTERVAL_MS)
+        self._n_requested_endpoints = max(
+            self._n_requested_endpoints, feed.n_endpoints or 0
+        )
         await feed.send({"list": 1, "digests": self._view.digests()})
 
     async def _ping(self, feed: Feed) -> None:
-        """Show the replica that this entry still listens."""
+        """Send keep-alives, so that the replica doesn't drop this subscriber."""
         with contextlib.suppress(OSError, curio.TaskTimeout):
             while True:
                 await curio.sleep(PING_INTERVAL_MS / 1000)
--- a/pollenfold/gateway/notices.py
+++ b/pollenfold/gateway/notices.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself in its answers, whatever they answer."""
+"""Notices in the response headers of backend servers: leaving and back-off."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
     view: FleetView,
     rng: random.Random,
 ) -> None:
-    """Let an answer say that its endpoint leaves, or wants nothing for a while.
+    """Apply the leaving and Retry-After headers of a response to its endpoint.
 
-    An answer of another instance at the address says nothing of this endpoint.
+    A response of another instance at the address (status 421) is ignored.
     """
     if response.status == 421:
         return
     headers = response.headers
     if find_header(headers, dialect.leaving) == LEAVING:
         view.mark_leaving(endpoint)
-    value = find_header(headers, b"retry-after")
-    if response.status != 503 or value is None:
+    retry_after = find_header(headers, b"retry-after")
+    if response.status != 503 or retry_after is None:
         return
-    rest_ms = parse_rest_ms(value, find_header(headers, b"date"))
-    if rest_ms is not None:
-        view.mark_resting(endpoint, spread_rest_ms(rest_ms, rng.random()))
+    backoff_ms = parse_rest_ms(retry_after, find_header(headers, b"date"))
+    if backoff_ms is not None:
+        view.start_backoff(endpoint, spread_rest_ms(backoff_ms, rng.random()))
--- a/pollenfold/tests/gateway/test_feeds.py
+++ b/pollenfold/tests/gateway/test_feeds.py
@@ -34,7 +34,7 @@
 async def open_feed(feeds, host, feed):
     feeds._connected[host] = feed
     await feeds._choose_source()
-    await feeds._ask_better_list(feed)
+    await feeds._request_larger_list(feed)
 
 
 def n_lists(feed):
@@ -98,7 +98,7 @@
     async def main():
         feeds = make_feeds()
         await open_feed(feeds, "lost", FakeFeed("a", n_endpoints=33))
-        feeds._lose("lost")
+        feeds._remove_feed("lost")
         other = FakeFeed("b", n_endpoints=33)
         await open_feed(feeds, "other", other)
         assert n_lists(other) == 1
