--- a/pollenfold/entry/announcements.py
+++ b/pollenfold/entry/announcements.py
@@ -1,4 +1,4 @@
-"""The platform port's handler for announcements of backend servers."""
+"""Handles announcements of backend servers on the platform port."""
 
 from __future__ import annotations
 
@@ -59,9 +59,9 @@
 
 
 class AnnouncementHandler:
-    """Answers ``POST /v1/announcements``.
+    """Handles ``POST /v1/announcements``.
 
-    ``is_known_service`` says whether the configuration has a service of that name.
+    ``is_known_service`` returns whether the configuration has a service of that name.
     ``push`` sends changed endpoints to the peers, and ``on_leave`` hands a leave
     notice to the next lease renewal.
     """
@@ -81,7 +81,7 @@
         self._on_leave = on_leave
 
     async def handle(self, request: Request) -> Response:
-        """Validate and merge one announcement, and tell the peers of a change."""
+        """Validate and merge one announcement, and push a change to the peers."""
         if request.path != PATH:
             return error_response(ErrorKind.NOT_FOUND)
         if request.method != b"POST":
@@ -101,9 +101,9 @@
         if outcome is MergeOutcome.LEFT:
             self._on_leave(LeaveNotice(*endpoint.key, endpoint.incarnation))
         pushed = PushResult(0, 0)
-        # A repeated leave is pushed again: its sender may not have seen the answer.
-        is_change = outcome in (MergeOutcome.CHANGED, MergeOutcome.LEFT)
-        if is_change or announced.is_leaving:
+        # A repeated leave is pushed again: its sender may have missed the response.
+        is_changed = outcome in (MergeOutcome.CHANGED, MergeOutcome.LEFT)
+        if is_changed or announced.is_leaving:
             logger.info(
                 "event=endpoint_{} service={} endpoint={} incarnation={}",
                 "leaving" if endpoint.is_leaving else "changed",
@@ -112,10 +112,10 @@
                 endpoint.incarnation,
             )
             pushed = await self._push([endpoint])
-        return json_response(200, _answer(announced, endpoint, pushed))
+        return json_response(200, _response_body(announced, endpoint, pushed))
 
 
-def _answer(
+def _response_body(
     announced: Endpoint, endpoint: Endpoint, pushed: PushResult
 ) -> dict[str, Any]:
     reason = ""
@@ -135,7 +135,7 @@
 
 
 def _describe(error: ValidationError) -> str:
-    """Return the first fault: the field, what was expected and what was received."""
-    fault = error.errors(include_url=False)[0]
-    field = ".".join(str(part) for part in fault["loc"]) or "body"
-    return f"{field}: {fault['msg']}, got {fault.get('input')!r:.80}"
+    """Describe the first error: the field, what was expected and what was received."""
+    first_error = error.errors(include_url=False)[0]
+    field = ".".join(str(part) for part in first_error["loc"]) or "body"
+    return f"{field}: {first_error['msg']}, got {first_error.get('input')!r:.80}"
--- a/pollenfold/entry/configuration.py
+++ b/pollenfold/entry/configuration.py
@@ -24,9 +24,9 @@
 from .state import Directory, EntryState
 
 POLL_WAIT_MS = 400.0
-"""How long the leader may hold a request back until there is news. Each response
-renews the lease from when its request was sent, so at any moment at least 1.2 s are
-left: an election (0.8 s at most) and one lost exchange."""
+"""How long the leader may hold a request until it has updates (long poll). Each
+response renews the lease from the time its request was sent, so at least 1.2 s of the
+lease always remain: enough for an election (0.8 s at most) and one lost exchange."""
 
 RETRY_MS = 100.0
 FLEET_FULL_RETRY_MS = 500.0
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryAddresses:
-    """Where an entry listens."""
+    """The address and ports on which an entry listens."""
 
     host: str
     caller_port: int
@@ -51,11 +51,11 @@
     """Renews the lease of this entry and follows the configuration.
 
     ``control`` lists the peer addresses of the control replicas. ``peers`` returns
-    the addresses (host, peer port) of other entries that can forward a renewal;
-    without it those of the directory are used. ``on_change`` is called after the
+    the addresses (host, peer port) of other entries that can forward a renewal; if it
+    is None, the entries of the directory are used. ``on_change`` is called after the
     view, the directory or the leave notices changed.
 
-    For example, an entry registers ``forward`` under ``Protocol.LEASE`` of its peer
+    For example, an entry registers ``forward`` for ``Protocol.LEASE`` on its peer
     port, spawns ``run`` and checks ``has_lease(clock())`` before each dispatch.
     """
 
@@ -92,11 +92,11 @@
         return self._state.view
 
     def has_lease(self, now: Instant) -> bool:
-        """Return whether this entry may take new work."""
+        """Return whether this entry may accept new requests."""
         return self._state.lease.is_valid(now)
 
     def lease_since(self) -> Instant:
-        """Return when the present unbroken lease began."""
+        """Return when the current uninterrupted lease began."""
         return self._state.lease.since
 
     def directory(self) -> Directory:
@@ -108,7 +108,7 @@
         return self._state.notices(self._clock())
 
     async def add_leave_notice(self, notice: LeaveNotice) -> None:
-        """Report that an endpoint leaves; it is sent to the leader at once."""
+        """Report that an endpoint is leaving; the notice is sent immediately."""
         if self._state.add_notice(notice, self._clock()):
             await self._wake.set()
 
@@ -122,7 +122,7 @@
             await self._route.close()
 
     async def forward(self, payload: bytes) -> bytes:
-        """Pass a lease request of a peer on to the leader, one hop only."""
+        """Forward a lease request of a peer to the leader, one hop only."""
         decoded = decode_request(payload)
         if decoded.is_error():
             failure = decoded.error
@@ -135,11 +135,11 @@
             is_forwarded=True,
             wait_ms=min(decoded.ok.wait_ms, POLL_WAIT_MS),
         )
-        answer = await self._route.exchange(request, is_direct=True)
-        return unreachable if answer is None else encode_response(answer[0])
+        exchanged = await self._route.exchange(request, is_direct=True)
+        return unreachable if exchanged is None else encode_response(exchanged[0])
 
     async def _poll(self) -> None:
-        """Ask for news all the time."""
+        """Renew the lease by long polls until cancelled."""
         while True:
             error = await self._exchange(POLL_WAIT_MS)
             if error is ErrorKind.FLEET_FULL:
@@ -148,25 +148,25 @@
                 await curio.sleep(RETRY_MS / 1000)
 
     async def _renew(self) -> None:
-        """Renew beside the long poll as soon as there is something to report."""
+        """Send an extra renewal as soon as there is something to report."""
         while True:
             await self._wake.wait()
             self._wake.clear()
             await self._exchange(0.0)
 
     async def _exchange(self, wait_ms: float) -> ErrorKind | None:
-        """Make one renewal; return why it was refused, or None."""
+        """Request one renewal; return why it was refused, or None."""
         request = self._state.request(wait_ms, self._clock())
-        answer = await self._route.exchange(request)
+        exchanged = await self._route.exchange(request)
         error = ErrorKind.UNREACHABLE
-        if answer is not None:
-            response, sent_at = answer
+        if exchanged is not None:
+            response, sent_at = exchanged
             if response.error is None:
                 await self._receive(request, response, sent_at)
-                return self._note_refusal(None, "")
+                return self._record_refusal(None, "")
             error = response.error
-            return self._note_refusal(error, response.detail)
-        return self._note_refusal(error, "no control replica leads")
+            return self._record_refusal(error, response.detail)
+        return self._record_refusal(error, "no control replica leads")
 
     async def _receive(
         self, request: LeaseRequest, response: LeaseResponse, sent_at: Instant
@@ -178,10 +178,10 @@
         if self._state.lease.revision != acknowledged or self._state.has_unreported(
             self._clock()
         ):
-            # The leader learns at once that the revision is in force here.
+            # Acknowledges the revision to the leader without waiting for the next poll.
             await self._wake.set()
 
-    def _note_refusal(self, error: ErrorKind | None, detail: str) -> ErrorKind | None:
+    def _record_refusal(self, error: ErrorKind | None, detail: str) -> ErrorKind | None:
         if error is not self._refusal:
             self._refusal = error
             kind = "none" if error is None else error.value
--- a/pollenfold/entry/daemon.py
+++ b/pollenfold/entry/daemon.py
@@ -40,18 +40,18 @@
     from ..settings import EntrySettings
 
 MAX_BODY_BYTES = 16 << 20
-"""Greatest body that the HTTP layer reads; each service has its own lower limit."""
+"""Largest body that the HTTP layer reads; each service has its own lower limit."""
 
 LEDGER_CALL_TIMEOUT_MS = 200.0
-"""Covers a sync that stalls on a busy disk. The first majority decides, so the time
-matters only when too few replicas answer."""
+"""Covers a sync that stalls on a busy disk. The first majority decides, so the timeout
+matters only when too few replicas respond."""
 
 STORE_WAIT_MS = 3000.0
 """How long a planned stop waits for outcomes that are still being stored."""
 
 
 class Entry:
-    """The parts of one entry, wired together."""
+    """The components of one entry and their connections."""
 
     def __init__(self, settings: EntrySettings) -> None:
         self.settings = settings
@@ -114,15 +114,17 @@
             self.gossip.push,
             self._report_leave,
         )
-        self.prober = Prober(self._probe_targets, self._take_probe, system_clock, seed)
+        self.prober = Prober(
+            self._probe_targets, self._record_probe, system_clock, seed
+        )
         self._unpublished: list[Endpoint] = []
         self._unreported: list[LeaveNotice] = []
 
     def has_lease(self) -> bool:
-        """Return whether this entry may take new work now.
+        """Return whether this entry may accept new requests now.
 
-        After a lapse the call path still has the endpoints of the earlier lease, such
-        as those of a zone that is out by now, until the refresher has run.
+        After the lease lapsed, the call path has the endpoints of the earlier lease,
+        such as those of a zone evacuated since, until the refresher has run.
         """
         refreshed_at = self.refresher.refreshed_at
         if refreshed_at is None or refreshed_at <= self.configuration.lease_since():
@@ -140,7 +142,7 @@
         return None
 
     def status(self) -> dict[str, Any]:
-        """Return what operators see of this entry."""
+        """Return the status of this entry for operators."""
         view = self.configuration.view()
         return {
             "entry_id": self.settings.entry_id,
@@ -170,7 +172,7 @@
         }
 
     def gauges(self) -> dict[str, float]:
-        """Return the figures for statsd."""
+        """Return the gauges for statsd."""
         gauges = {"lease": float(self.has_lease())}
         for runtime in self.services.runtimes:
             name = runtime.spec.name
@@ -203,10 +205,10 @@
         self.refresher.wake()
 
     def _directory(self) -> Directory:
-        """Return the directory for warm-up, the same object while it is unchanged."""
+        """Return the directory for warm-up; the same object while it is unchanged."""
         directory = self.configuration.directory()
-        known = self._warmup_directory
-        if (known.revision, known.first_seen) != (
+        cached = self._warmup_directory
+        if (cached.revision, cached.first_seen) != (
             directory.revision,
             directory.first_seen,
         ):
@@ -228,12 +230,12 @@
             for runtime in self.services.runtimes
         ]
 
-    def _take_probe(self, result: ProbeResult) -> None:
+    def _record_probe(self, result: ProbeResult) -> None:
         if result.report is None:
             return
         for runtime in self.services.runtimes:
             if runtime.spec.name == result.endpoint.service:
-                runtime.take_report(result.endpoint.name, result.report)
+                runtime.record_report(result.endpoint.name, result.report)
 
     def _is_known_service(self, name: str) -> bool:
         return any(s.name == name for s in self.configuration.view().services)
@@ -254,7 +256,7 @@
             )
 
     def _publish_warm_change(self, change: WarmChange) -> None:
-        """Merge a change at once, and leave the push to its task."""
+        """Merge a change immediately; ``publish`` pushes it to the peers."""
         endpoint = change.endpoint
         logger.info(
             "event=warm_state service={} endpoint={} is_warm={} reason={}",
@@ -269,7 +271,7 @@
 
 
 async def serve_entry(settings: EntrySettings) -> None:
-    """Run an entry until SIGTERM or SIGINT, then stop without cutting requests off."""
+    """Run an entry until SIGTERM or SIGINT, then stop without aborting requests."""
     entry = Entry(settings)
     callers = HttpServer(entry.proxy.handle, MAX_BODY_BYTES)
     platform = HttpServer(
@@ -300,8 +302,8 @@
             sender = MetricsSender(settings.statsd, prefix, entry.gauges)
             await group.spawn(sender.run)
         await callers.start(settings.host, settings.caller_port)
-        # What exists now lives as long as the process; freezing it keeps the
-        # collector from walking it during calls.
+        # The objects that exist now live as long as the process; freezing them keeps
+        # the garbage collector from traversing them while requests are handled.
         gc.collect()
         gc.freeze()
         logger.info(
@@ -313,16 +315,16 @@
         first_done = await group.next_done()
         if first_done is not stop:
             logger.error("event=task_failed task={}", first_done.name)
-            raise first_done.exception or RuntimeError("a task ended too early")
+            raise first_done.exception or RuntimeError("a task ended unexpectedly")
         await drain(entry, callers, settings.drain_notice_ms)
         await group.cancel_remaining()
 
 
 async def drain(entry: Entry, callers: HttpServer, notice_ms: float) -> None:
-    """Finish a planned stop while the other tasks still run.
+    """Complete a planned stop while the other tasks still run.
 
-    The health check fails first, so that the platform's balancer sends new callers
-    elsewhere before the port closes.
+    The health check fails first, so that the platform's balancer routes new callers to
+    other entries before the port closes.
     """
     entry.is_stopping = True
     callers.announce_stop()
--- a/pollenfold/entry/gossip.py
+++ b/pollenfold/entry/gossip.py
@@ -1,4 +1,4 @@
-"""Spreads the endpoint table among the entries."""
+"""Replicates the endpoint table among the entries by gossip."""
 
 from __future__ import annotations
 
@@ -36,21 +36,21 @@
 EXCHANGE_INTERVAL_MS = 1000.0
 
 CALL_TIMEOUT_MS = 500.0
-"""Time for one peer to respond; half the interval, so exchanges do not pile up."""
+"""Response timeout of one peer; half the interval, so exchanges do not accumulate."""
 
 COPY_DEADLINE_MS = 3000.0
-"""A starting entry reports ready without a copy after this time, so that a fleet in
-which no entry responds can still start. Its endpoints are cold then."""
+"""A starting entry reports ready without a copied table after this time, so that a
+fleet in which no entry responds can still start. Its endpoints are cold then."""
 
 MAX_PUSH_ENTRIES = 500
 """Endpoints in one push, about 90 KB."""
 
 MAX_COPY_ENTRIES = 1000
-"""Endpoints after which a part of a copy ends."""
+"""Number of endpoints after which a page of a copy ends."""
 
 
 class Peer(Interface):
-    """The call of a peer, as ``wire.rpc.RpcClient`` has it."""
+    """The interface of a peer's client, implemented by ``wire.rpc.RpcClient``."""
 
     async def call(
         self, protocol: Protocol, payload: bytes, timeout_ms: float
@@ -61,23 +61,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PushResult:
-    """How many of the peers confirmed a push."""
+    """How many peers acknowledged a push."""
 
     n_peers: int
     n_acknowledged: int
 
     @property
     def is_complete(self) -> bool:
-        """Whether every peer confirmed."""
+        """Whether every peer acknowledged."""
         return self.n_acknowledged == self.n_peers
 
 
 class Gossip:
-    """Keeps the table of this entry and those of its peers equal.
+    """Synchronises the table of this entry with those of its peers.
 
     ``peers`` returns the other live entries by id, or None while no directory is
     known. ``is_ready`` becomes true once the table was copied from a peer, or when
-    there is none to copy from.
+    there is no peer to copy from.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
             await self.exchange()
 
     async def push(self, entries: Sequence[Endpoint]) -> PushResult:
-        """Send changed endpoints to all peers at once."""
+        """Send changed endpoints to all peers concurrently."""
         peers = list((self._peers() or {}).values())
         aged = [AgedEndpoint(endpoint) for endpoint in entries]
         payloads = [
@@ -129,24 +129,24 @@
             return
         peer = peers[self._random.choice(sorted(peers))]
         sent = self._table.digest()
-        answer = await self._call(peer, encode_request(sent))
-        if not isinstance(answer, Difference):
+        response = await self._call(peer, encode_request(sent))
+        if not isinstance(response, Difference):
             return
         now = self._clock()
-        self._table.renew_from_difference(sent, answer, now)
-        received = {entry.endpoint for entry in answer.entries}
-        self._merge(answer.entries)
+        self._table.renew_from_difference(sent, response, now)
+        received = {entry.endpoint for entry in response.entries}
+        self._merge(response.entries)
         missing = [
             entry
-            for entry in self._table.entries(now, answer.buckets)
+            for entry in self._table.entries(now, response.buckets)
             if entry.endpoint not in received
         ]
         for start in range(0, len(missing), MAX_PUSH_ENTRIES):
-            part = tuple(missing[start : start + MAX_PUSH_ENTRIES])
-            await self._call(peer, encode_request(Push(part)))
+            batch = tuple(missing[start : start + MAX_PUSH_ENTRIES])
+            await self._call(peer, encode_request(Push(batch)))
 
     async def handle(self, payload: bytes) -> bytes:
-        """Answer a peer; raise ValueError for a malformed message."""
+        """Respond to a peer; raise ValueError for a malformed message."""
         request = decode_request(payload)
         if isinstance(request, Push):
             self._merge(request.entries)
@@ -155,12 +155,12 @@
         if isinstance(request, Digest):
             self._table.renew(request, now)
             return encode_response(self._table.difference(request, now))
-        return encode_response(self._copy(request.from_bucket))
+        return encode_response(self._copy_page(request.from_bucket))
 
     async def copy_from_peers(self) -> None:
-        """Copy the table of one peer, and report ready.
+        """Copy the table of a peer, then report ready.
 
-        A peer that is not ready itself is used only when no ready one responds.
+        A peer that is not ready itself counts only when no ready peer responds.
         """
         deadline = self._clock() + COPY_DEADLINE_MS
         while True:
@@ -172,7 +172,7 @@
                     if not self.is_ready
                 ]
                 if all(result is not None for result in results):
-                    # Nobody holds more than what was copied.
+                    # All peers were copied, so none has more endpoints.
                     self.is_ready = True
                 elif self._clock() >= deadline:
                     logger.warning("event=table_copy_missing n_peers={}", len(peers))
@@ -182,20 +182,20 @@
             await curio.sleep(0.05)
 
     async def _copy_from(self, peer: Peer) -> bool | None:
-        """Copy one peer's table; return its readiness, None without a whole copy."""
+        """Copy a peer's table; return its readiness, or None for an incomplete copy."""
         bucket = 0
         is_ready = True
         while bucket < N_BUCKETS:
-            answer = await self._call(peer, encode_request(CopyRequest(bucket)))
-            if not isinstance(answer, Copy) or answer.next_bucket <= bucket:
+            response = await self._call(peer, encode_request(CopyRequest(bucket)))
+            if not isinstance(response, Copy) or response.next_bucket <= bucket:
                 return None
-            self._merge(answer.entries)
-            bucket = answer.next_bucket
-            is_ready = is_ready and answer.is_ready
+            self._merge(response.entries)
+            bucket = response.next_bucket
+            is_ready = is_ready and response.is_ready
         self.is_ready = self.is_ready or is_ready
         return is_ready
 
-    def _copy(self, from_bucket: int) -> Copy:
+    def _copy_page(self, from_bucket: int) -> Copy:
         entries: list[AgedEndpoint] = []
         bucket = from_bucket
         while bucket < N_BUCKETS and len(entries) < MAX_COPY_ENTRIES:
@@ -216,7 +216,7 @@
         return True
 
     async def _call(self, peer: Peer, payload: bytes) -> Response:
-        """Return the response, or None when there is none that can be read."""
+        """Return the response, or None for no response or a malformed one."""
         result = await peer.call(Protocol.MEMBERSHIP, payload, CALL_TIMEOUT_MS)
         if result.is_error():
             return None
--- a/pollenfold/entry/peers.py
+++ b/pollenfold/entry/peers.py
@@ -1,4 +1,4 @@
-"""Connections to the other live entries."""
+"""RPC clients for the other live entries."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PeerClients:
-    """One client for each other entry of the directory.
+    """Keeps one client for each other entry of the directory.
 
     ``get`` returns them by entry id, or None while the directory is not known.
     """
@@ -22,7 +22,7 @@
         self._by_id: dict[str, RpcClient] | None = None
 
     def get(self) -> dict[str, RpcClient] | None:
-        """Return the clients of the entries that live now."""
+        """Return the clients of the entries that are live now."""
         directory = self._directory()
         if directory.revision != self._revision:
             self._revision = directory.revision
--- a/pollenfold/entry/platform.py
+++ b/pollenfold/entry/platform.py
@@ -15,9 +15,9 @@
 
 
 class PlatformInterface:
-    """Answers the platform's balancer, backend servers and operators.
+    """Handles requests of the platform's balancer, backend servers and operators.
 
-    ``unhealthy_kind`` returns why the entry takes no new work, or None.
+    ``unhealthy_kind`` returns why the entry accepts no new requests, or None.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self._authorization = f"Bearer {token}".encode()
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request of the platform port."""
+        """Handle one request on the platform port."""
         path = request.path
         if path == HEALTH_PATH:
             kind = self._unhealthy_kind()
@@ -44,7 +44,7 @@
             return await self._announce(request)
         if path != STATUS_PATH:
             return error_response(ErrorKind.NOT_FOUND)
-        given = request.header(b"authorization") or b""
-        if not hmac.compare_digest(given, self._authorization):
+        authorization = request.header(b"authorization") or b""
+        if not hmac.compare_digest(authorization, self._authorization):
             return error_response(ErrorKind.UNAUTHORIZED)
         return json_response(200, self._status())
--- a/pollenfold/entry/refresher.py
+++ b/pollenfold/entry/refresher.py
@@ -1,4 +1,4 @@
-"""Brings configuration, endpoints and limits to the call path."""
+"""Applies changes of configuration, endpoints and limits to the call path."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
     from .services import ServiceTable
 
 REFRESH_INTERVAL_MS = 100.0
-"""How late a change by time alone is seen, such as the end of an ejection or of the
-wait of a new warm-up owner. Other changes are taken over at the next tick."""
+"""The longest delay of a change caused by time alone, such as the end of an ejection or
+of a new warm-up owner's wait. Other changes are applied at the next tick."""
 
 TICK_MS = 20.0
-"""Callbacks that are not coroutines can't set a curio event, so changes are polled."""
+"""The interval at which changes are polled, since callbacks that are not coroutines
+can't set a curio event."""
 
 
 class Refresher:
     """Applies changes to the services of an entry.
 
-    ``wake`` is called from other modules when something changed. ``refreshed_at`` is
-    when the last finished pass began.
+    Other modules call ``wake`` when something changed. ``refreshed_at`` is the start of
+    the last completed pass.
     """
 
     def __init__(
@@ -48,11 +49,11 @@
         self.refreshed_at: Instant | None = None
 
     def wake(self) -> None:
-        """Note a change; the next pass of ``run`` takes it over."""
+        """Record that something changed; the next pass of ``run`` applies it."""
         self._is_changed = True
 
     async def run(self) -> None:
-        """Refresh at once after a change, else at each interval."""
+        """Refresh at the next tick after a change, else at each interval."""
         while True:
             await self.refresh()
             for _ in range(int(REFRESH_INTERVAL_MS / TICK_MS)):
@@ -61,7 +62,7 @@
                     break
 
     async def refresh(self) -> None:
-        """Take over the present configuration, endpoints and limits."""
+        """Apply the current configuration, endpoints and limits."""
         self._is_changed = False
         started_at = self._clock()
         view = self._configuration.view()
--- a/pollenfold/entry/services.py
+++ b/pollenfold/entry/services.py
@@ -1,4 +1,4 @@
-"""The services of the configuration in force, with their endpoints and budgets."""
+"""The services of the active configuration, with their endpoints and budgets."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 """A shorter delay would hedge requests that differ only by scheduling noise."""
 
 FAILURE_PENALTY = 10.0
-"""A failed attempt counts as this many mean service times when servers are ranked."""
+"""The ranking of servers counts a failed attempt as this many mean service times."""
 
 _FAILURES = frozenset(
     (AttemptOutcome.SERVER_ERROR, AttemptOutcome.LOST, AttemptOutcome.UNREACHABLE)
@@ -33,8 +33,8 @@
 class ServiceRuntime:
     """One service: its queue for slots, its endpoints, its retry and hedge budgets.
 
-    ``warmup_owners`` are the entries that may send to endpoints which this entry
-    must leave alone while they are cold.
+    ``warmup_owners`` are the entries that may send requests to cold endpoints that this
+    entry must not use until they are warm.
     """
 
     def __init__(
@@ -56,15 +56,15 @@
         self._clock = clock
         self._health = health
 
-    def change_spec(self, spec: ServiceSpec) -> None:
-        """Take over a new version of the record; requests in flight go on."""
+    def update_spec(self, spec: ServiceSpec) -> None:
+        """Apply a new version of the record; requests in flight continue."""
         self.spec = spec
         self.slots.queue_limit = spec.queue_limit
         self.retry_budget.ratio = spec.retry_ratio
         self._hedge_budget.ratio = spec.hedge_ratio
 
     def count_call(self) -> None:
-        """Add one call's share of permits to the retry and hedge budgets."""
+        """Deposit one call's share into the retry and hedge budgets."""
         self.retry_budget.deposit()
         self._hedge_budget.deposit()
 
@@ -81,7 +81,7 @@
         return attempt
 
     def acquire_hedge(self, tried: set[str]) -> Candidate | None:
-        """Take a slot for a hedge, when the budget and the endpoints allow it."""
+        """Acquire a slot for a hedge if the budget and the endpoints allow it."""
         if not self._hedge_budget.withdraw():
             return None
         candidate = self.slots.try_acquire(tried)
@@ -90,10 +90,10 @@
         return candidate
 
     async def finish(self, attempt: Attempt, result: AttemptResult | None) -> None:
-        """End an attempt: note how it went, and free its connection and slot.
+        """End an attempt: record its result, and release its connection and slot.
 
-        ``result`` is None for an attempt that was cancelled; the time that it took
-        until then is a lower bound of its latency.
+        ``result`` is None for an attempt that was cancelled; its duration until then is
+        a lower bound of its latency.
         """
         await attempt.finish()
         latency_ms = self._clock() - attempt.started_at
@@ -102,31 +102,33 @@
             self.spec, backend, result, latency_ms, attempt.wants_report
         )
         if report is not None:
-            self._note_report(backend.candidate, report)
-        is_whole = result is not None and result.outcome is AttemptOutcome.RESPONDED
-        is_bound = result is None or result.outcome is AttemptOutcome.EXPIRED
-        # A lower bound tells nothing while it is below the mean.
-        counts = is_whole or is_bound and latency_ms > backend.candidate.ewma_ms
+            self._update_reported_load(backend.candidate, report)
+        is_complete = result is not None and result.outcome is AttemptOutcome.RESPONDED
+        is_lower_bound = result is None or result.outcome is AttemptOutcome.EXPIRED
+        # A lower bound below the mean carries no information.
+        is_sample = (
+            is_complete or is_lower_bound and latency_ms > backend.candidate.ewma_ms
+        )
         if result is not None and result.outcome in _FAILURES:
             penalty_ms = FAILURE_PENALTY * max(1.0, self.slots.mean_service_ms)
             observe_failure(backend.candidate, penalty_ms, self._clock())
-        if counts:
+        if is_sample:
             self._latency.observe(latency_ms)
-        await self.slots.release(backend.candidate, latency_ms if counts else None)
+        await self.slots.release(backend.candidate, latency_ms if is_sample else None)
 
     async def sync(
         self, endpoints: tuple[Endpoint, ...], view: ConfigurationView
     ) -> None:
-        """Take over the endpoints known now, with their limits at this moment."""
+        """Apply the endpoints known now and their current limits."""
         usable = []
         owners = set()
         n_connections = connection_limit(
             self.spec.connections_per_endpoint, view.fleet.max_entries
         )
-        present = set()
+        current_keys = set()
         for endpoint in endpoints:
             key = f"{endpoint.host}:{endpoint.port}"
-            present.add(key)
+            current_keys.add(key)
             backend = self.backends.get(key)
             if backend is None:
                 backend = make_backend(endpoint, key, n_connections)
@@ -134,7 +136,8 @@
             backend.endpoint = endpoint
             backend.pool.limit = n_connections
             candidate = backend.candidate
-            # A slot without a connection would refuse requests that could wait.
+            # With more slots than connections, requests would be refused that could
+            # have waited for a slot.
             candidate.limit = min(
                 n_connections, self._health.limit(self.spec, endpoint, view)
             )
@@ -145,32 +148,32 @@
             else:
                 owners.add(owner)
         self.warmup_owners = tuple(owner for owner in owners if owner is not None)
-        await self._drop_absent(present)
+        await self._drop_absent(current_keys)
         self._health.retain(self.spec.name, endpoints)
         await self.slots.update(tuple(usable))
 
-    async def _drop_absent(self, present: set[str]) -> None:
-        for key in [key for key in self.backends if key not in present]:
+    async def _drop_absent(self, current_keys: set[str]) -> None:
+        for key in [key for key in self.backends if key not in current_keys]:
             backend = self.backends[key]
             backend.candidate.limit = 0
             if backend.candidate.n_in_flight == 0:
                 await backend.pool.close()
                 del self.backends[key]
 
-    def take_report(self, key: str, report: LoadReport) -> None:
-        """Take a load report that a probe brought."""
+    def record_report(self, key: str, report: LoadReport) -> None:
+        """Record a load report from a probe."""
         backend = self.backends.get(key)
         if backend is not None:
-            self._note_report(backend.candidate, report)
+            self._update_reported_load(backend.candidate, report)
 
     @staticmethod
-    def _note_report(candidate: Candidate, report: LoadReport) -> None:
+    def _update_reported_load(candidate: Candidate, report: LoadReport) -> None:
         candidate.reported_in_flight = float(report.in_flight)
         candidate.reported_at = report.received
 
 
 class ServiceTable:
-    """Finds the service of a path: the longest prefix of whole path segments."""
+    """Maps a path to its service by the longest prefix of complete path segments."""
 
     def __init__(
         self, zone: str, seed: int, clock: Clock, health: EndpointHealth
@@ -184,7 +187,7 @@
 
     @property
     def runtimes(self) -> list[ServiceRuntime]:
-        """All services of the configuration in force."""
+        """All services of the active configuration."""
         return list(self._runtimes.values())
 
     def find(self, path: str) -> ServiceRuntime | None:
@@ -195,7 +198,7 @@
         return None
 
     def apply(self, specs: list[ServiceSpec]) -> None:
-        """Take over the service records of a new configuration revision."""
+        """Apply the service records of a new configuration revision."""
         runtimes = {}
         for spec in specs:
             runtime = self._runtimes.get(spec.name)
@@ -204,7 +207,7 @@
                     spec, self._zone, self._seed, self._clock, self._health
                 )
             else:
-                runtime.change_spec(spec)
+                runtime.update_spec(spec)
             runtimes[spec.name] = runtime
         self._runtimes = runtimes
         by_prefix = [(r.spec.path_prefix.rstrip("/"), r) for r in runtimes.values()]
--- a/pollenfold/entry/state.py
+++ b/pollenfold/entry/state.py
@@ -1,4 +1,4 @@
-"""What an entry knows from lease responses; no I/O."""
+"""The state that an entry builds from lease responses; no I/O."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from ..wire.lease import AgedNotice, LeaseRequest, LeaseResponse
 
 MAX_NOTICES = 2000
-"""Notices of one request; the others follow in the next one."""
+"""Maximum notices in one request; the rest follow in the next one."""
 
 
 @dataclass(frozen=True, slots=True)
 class Directory:
     """The live entries; revision 0 means that they are not known.
 
-    ``first_seen`` is when this entry first saw the revision.
+    ``first_seen`` is when this entry first received the revision.
     """
 
     revision: int = 0
@@ -39,8 +39,8 @@
 class EntryState:
     """Configuration, lease, directory and leave notices of one entry.
 
-    ``request`` makes the next lease request and ``receive`` takes its response;
-    responses may come late, twice or out of order.
+    ``request`` builds the next lease request and ``receive`` applies its response;
+    responses may arrive late, twice or out of order.
     """
 
     def __init__(self, entry: LiveEntry) -> None:
@@ -57,7 +57,7 @@
         self._notice_sequence = 0
 
     def request(self, wait_ms: float, now: Instant) -> LeaseRequest:
-        """Return a request that reports what this entry has and what it lacks."""
+        """Return a request that reports which revisions and notices this entry has."""
         return LeaseRequest(
             entry=self.entry,
             acknowledged=self.lease.revision,
@@ -77,9 +77,9 @@
         sent_at: Instant,
         now: Instant,
     ) -> bool:
-        """Take the response to a request; return whether anything changed.
+        """Apply the response to a request; return whether anything changed.
 
-        Anything from an earlier leader than the latest known one is ignored.
+        A response from a leader before the latest known one is ignored.
         """
         if response.error is not None or response.epoch < self._epoch:
             return False
@@ -88,17 +88,18 @@
             self._notice_sequence = 0
         for aged in request.notices:
             self._mark_reported(aged.notice)
-        is_changed = self._take_records(response)
-        is_changed |= self._take_notices(response, now)
-        is_changed |= self._take_directory(response, now)
+        is_changed = self._apply_records(response)
+        is_changed |= self._apply_notices(response, now)
+        is_changed |= self._apply_directory(response, now)
         if self.lease.is_valid(now) or not request.holds_lease:
-            # A new leader trusts the claim to hold a lease; once the lease has ended
-            # another entry may have this one's place in the fleet.
+            # A new leader trusts the request's claim that this entry holds a lease.
+            # Once the lease has ended, another entry may have taken its place in the
+            # fleet, so a response to an outdated claim must not renew it.
             self.lease.renew(sent_at, response.lease_ms, response.revision, now)
         return is_changed
 
     def add_notice(self, notice: LeaveNotice, now: Instant) -> bool:
-        """Keep a leave notice of this entry; return whether it is new."""
+        """Store a leave notice of this entry; return whether it is new."""
         return self._notices.add(notice, 0.0, now)
 
     def notices(self, now: Instant) -> list[AgedNotice]:
@@ -128,21 +129,21 @@
     def _mark_reported(self, notice: LeaveNotice) -> None:
         self._reported[notice.endpoint] = (notice.incarnation, self._epoch)
 
-    def _take_records(self, response: LeaseResponse) -> bool:
+    def _apply_records(self, response: LeaseResponse) -> bool:
         for revision, data in response.records:
             if revision > self._cursor:
-                self._take_record(revision, data)
+                self._apply_record(revision, data)
         self._cursor = max(self._cursor, response.cursor)
         if self._cursor < response.revision or self._cursor <= self.view.revision:
             return False
         self.view = build_view(self._cursor, self._specs.values())
-        # A record that can't be read keeps its former spec, and its revision is not
-        # acknowledged, so that operators see that it is not in force here.
+        # A record that can't be parsed keeps its previous spec, and its revision is not
+        # acknowledged, so that operators see that it is not in force on this entry.
         acknowledged = min([self._cursor + 1, *self._unreadable.values()]) - 1
         self.lease.advance(acknowledged)
         return True
 
-    def _take_record(self, revision: int, data: bytes) -> None:
+    def _apply_record(self, revision: int, data: bytes) -> None:
         parsed = parse_record(data, is_stored=True)
         if parsed.is_error():
             logger.error(
@@ -157,7 +158,7 @@
         self._specs[key] = parsed.ok.spec
         self._unreadable.pop(key, None)
 
-    def _take_notices(self, response: LeaseResponse, now: Instant) -> bool:
+    def _apply_notices(self, response: LeaseResponse, now: Instant) -> bool:
         is_changed = False
         for aged in response.notices:
             is_changed |= self._notices.add(aged.notice, aged.age_ms, now)
@@ -165,13 +166,13 @@
         self._notice_sequence = max(self._notice_sequence, response.notice_sequence)
         return is_changed
 
-    def _take_directory(self, response: LeaseResponse, now: Instant) -> bool:
+    def _apply_directory(self, response: LeaseResponse, now: Instant) -> bool:
         revision = response.directory_revision
         if revision == 0:
             if self.directory.revision == 0 or self.lease.is_valid(now):
                 return False
-            # While this entry had no lease the directory may have changed and
-            # changed back, so what it knew doesn't count any more.
+            # While this entry had no lease, the directory may have changed and changed
+            # back, so the old copy is no longer valid.
             self.directory = Directory()
             return True
         if revision <= self.directory.revision:
@@ -181,7 +182,7 @@
 
 
 def _guess_key(data: bytes) -> RecordKey:
-    """Return the key of a record that can't be read, as well as it can be told."""
+    """Return the key of a record that can't be parsed, or empty strings."""
     try:
         fields = json.loads(data)
         return str(fields["kind"]), str(fields["name"])
--- a/pollenfold/tests/entry/conftest.py
+++ b/pollenfold/tests/entry/conftest.py
@@ -30,15 +30,15 @@
 
 HOST = "127.0.0.1"
 LEDGER_TIMEOUT_MS = 150.0
-"""Longer than the default: all replicas and entries share the loop of the test, so a
-busy machine would make the ledger look lost."""
+"""Longer than the default: all replicas and entries share the test's event loop, so on
+a busy machine a shorter timeout would make the ledger seem unreachable."""
 
 IDEMPOTENT_RULES = (Rule(("GET", "HEAD"), "/", RequestClass.IDEMPOTENT),)
 
 
 @dataclass
 class Reply:
-    """What a caller saw; ``status`` is None for a broken connection."""
+    """The response that a caller received; ``status`` is None for a lost connection."""
 
     status: int | None
     headers: dict = field(default_factory=dict)
@@ -86,12 +86,12 @@
             await self.close()
         if result.is_error():
             return Reply(None, took_ms=took_ms)
-        seen = {}
+        received = {}
         for name, text in result.ok.headers:
-            # A repeated header is shown as such, so that no test overlooks it.
-            before = [seen[name.decode()]] if name.decode() in seen else []
-            seen[name.decode()] = ", ".join([*before, text.decode()])
-        return Reply(result.ok.status, seen, result.ok.body, took_ms)
+            # Joins repeated headers, so that a test detects the repetition.
+            previous = [received[name.decode()]] if name.decode() in received else []
+            received[name.decode()] = ", ".join([*previous, text.decode()])
+        return Reply(result.ok.status, received, result.ok.body, took_ms)
 
     async def close(self):
         if self.connection is not None:
@@ -100,7 +100,7 @@
 
 
 class EntryUnderTest:
-    """The call path of one entry; the parts of ``Entry`` that ``drain`` uses."""
+    """The call path of one entry, with the attributes of ``Entry`` that drain uses."""
 
     def __init__(self, path, entry_id):
         self.path = path
@@ -142,7 +142,7 @@
         self.health_port = await self.platform.start(HOST, 0)
 
     async def sync(self):
-        """Take over the endpoints and their limits, as the refresher does."""
+        """Apply the endpoints and their limits, as the refresher does."""
         for runtime in self.services.runtimes:
             own = [e for e in self.path.endpoints if e.service == runtime.spec.name]
             await runtime.sync(tuple(own), self.view)
@@ -170,7 +170,7 @@
 
 
 class CallPath:
-    """Backend servers, a ledger and entries in the loop of one test."""
+    """Backend servers, a ledger and entries in the event loop of one test."""
 
     def __init__(self, ledger, spec):
         self.ledger = ledger
@@ -207,7 +207,7 @@
         self.tasks.append(sock)
 
     async def add_scripted(self, serve, zone="a"):
-        """Add an endpoint that ``serve(client, address)`` answers byte by byte."""
+        """Add an endpoint whose raw connections ``serve(client, address)`` handles."""
         sock = curio.tcp_server_socket(HOST, 0)
         self.add_endpoint(sock.getsockname()[1], zone)
         run_server = curio.network.run_server
@@ -232,11 +232,11 @@
 
     @property
     def n_runs(self):
-        """The runs at all fake backend servers together."""
+        """The number of executions at all fake backend servers together."""
         return sum(server.counts.n_runs for server in self.servers)
 
     def check_did_not_run(self, reply, n_runs_before=0):
-        """Check the claim of a refusal against the counts of the servers."""
+        """Check a run state of ``did_not_run`` against the servers' counters."""
         if reply.run_state == "did_not_run":
             assert self.n_runs == n_runs_before
         return reply
--- a/pollenfold/tests/entry/test_announcements.py
+++ b/pollenfold/tests/entry/test_announcements.py
@@ -1,4 +1,4 @@
-"""Steps of features/announcements.feature: the handler on the platform port."""
+"""Steps of features/announcements.feature: announcements on the platform port."""
 
 import json
 from pathlib import Path
@@ -29,7 +29,7 @@
 
 
 class Entry:
-    """A handler with its table, the pushes and the notices that it gave."""
+    """A handler with its table and records of its pushes and leave notices."""
 
     def __init__(self, service, run):
         self.table = EndpointTable()
@@ -37,7 +37,7 @@
         self.notices = []
         self.run = run
         self.status = None
-        self.answer = None
+        self.response_body = None
         self.handler = AnnouncementHandler(
             self.table,
             ManualClock(),
@@ -54,7 +54,7 @@
         request = Request(method, target, [], body)
         response = self.run(self.handler.handle, request)
         self.status = response.status
-        self.answer = json.loads(response.body)
+        self.response_body = json.loads(response.body)
 
     def announce(self, **fields):
         self.post(json.dumps({**BODY, **fields}).encode())
@@ -91,14 +91,14 @@
 
 @then(parsers.re(r'the answer is (?P<status>\d+) with reason "(?P<reason>.*)"'))
 def check_reason(entry, status, reason):
-    assert (entry.status, entry.answer["reason"]) == (int(status), reason)
-    assert entry.answer["accepted"] is not bool(reason)
+    assert (entry.status, entry.response_body["reason"]) == (int(status), reason)
+    assert entry.response_body["accepted"] is not bool(reason)
 
 
 @then(parsers.re(r'the answer is (?P<status>\d+) with error "(?P<error>.*)"'))
 def check_error(entry, status, error):
-    assert (entry.status, entry.answer["error"]) == (int(status), error)
-    assert entry.answer["detail"]
+    assert (entry.status, entry.response_body["error"]) == (int(status), error)
+    assert entry.response_body["detail"]
 
 
 @then(parsers.re(r"(?P<n_serving>\d+) endpoints? serves?"))
@@ -114,8 +114,8 @@
 @then(parsers.parse("a leave notice for incarnation {incarnation:d} was given"))
 def check_notice(entry, incarnation):
     assert entry.notices == [LeaveNotice("pearl-market", "10.0.0.1", 8080, incarnation)]
-    assert entry.answer["n_peers"] == 18
-    assert entry.answer["is_acknowledged"] is False
+    assert entry.response_body["n_peers"] == 18
+    assert entry.response_body["is_acknowledged"] is False
 
 
 def test_renewals_need_no_message(run):
@@ -131,7 +131,7 @@
     [(b"GET", b"/v1/announcements", 400), (b"POST", b"/v1/other", 404)],
 )
 def test_other_requests_are_refused(run, method, target, status):
-    """Guards against an announcement that is taken from another resource."""
+    """Guards against announcements accepted with another method or path."""
     entry = Entry("pearl-market", run)
     entry.post(json.dumps(BODY).encode(), method, target)
     assert entry.status == status
--- a/pollenfold/tests/entry/test_configuration.py
+++ b/pollenfold/tests/entry/test_configuration.py
@@ -1,4 +1,4 @@
-"""An entry that renews directly, through a peer, or not at all."""
+"""Lease renewals of an entry: direct, through a peer, or without control."""
 
 import json
 import socket
@@ -25,13 +25,13 @@
     return ConfigurationClient(name, addresses, "a", control, peers, system_clock)
 
 
-async def eventually(condition):
-    """Wait for the condition; the test's own limit ends an endless wait."""
+async def wait_until(condition):
+    """Wait for the condition; the timeout of the test ends an endless wait."""
     while not condition():
         await curio.sleep(0.01)
 
 
-def holds(entry):
+def holds_lease(entry):
     return lambda: entry.has_lease(system_clock())
 
 
@@ -55,7 +55,7 @@
 
 @pytest.fixture
 def started(run):
-    """Return a function that runs ``main(control)`` with a control replica."""
+    """Return a function that runs ``main(control)`` with one control replica."""
 
     def run_with_control(main):
         async def start():
@@ -70,32 +70,32 @@
 
 
 def test_renewals_pass_through_a_peer(started):
-    """Guards against an entry that stops although a peer reaches the leader."""
+    """Guards against an entry that loses its lease though a peer reaches the leader."""
 
     async def main(control):
         direct = client("e1", [control.address])
         address = await start_peer(direct.forward)
-        cut_off = client("e2", [unused_address()], lambda: [unused_address(), address])
-        for entry in (direct, cut_off):
+        isolated = client("e2", [unused_address()], lambda: [unused_address(), address])
+        for entry in (direct, isolated):
             await curio.spawn(entry.run, daemon=True)
-        for entry in (direct, cut_off):
-            await eventually(holds(entry))
-        await eventually(lambda: len(cut_off.directory().entries) == 2)
+        for entry in (direct, isolated):
+            await wait_until(holds_lease(entry))
+        await wait_until(lambda: len(isolated.directory().entries) == 2)
         started_at = system_clock()
-        await cut_off.add_leave_notice(NOTICE)
+        await isolated.add_leave_notice(NOTICE)
         await take_zone_out(control)
-        await eventually(lambda: not cut_off.view().is_zone_in("a"))
-        await eventually(lambda: [n.notice for n in direct.leave_notices()] == [NOTICE])
+        await wait_until(lambda: not isolated.view().is_zone_in("a"))
+        await wait_until(lambda: [n.notice for n in direct.leave_notices()] == [NOTICE])
         assert system_clock() - started_at < 3000
         held = control.state.leadership()
-        await eventually(lambda: held.directory.in_force_revision(1, system_clock()))
+        await wait_until(lambda: held.directory.in_force_revision(1, system_clock()))
         assert system_clock() - started_at < 4000
 
     started(main)
 
 
 def test_request_is_forwarded_only_once(started):
-    """Guards against requests that circle among entries."""
+    """Guards against forwarding loops between entries."""
 
     async def main(control):
         direct = client("e1", [control.address])
@@ -109,40 +109,41 @@
             (b"\xff" * 9, ErrorKind.BAD_FRAME),
         ]:
             assert decode_response(await direct.forward(payload)).ok.error is error
-        asked = []
+        received = []
 
         async def record(payload):
-            asked.append(payload)
+            received.append(payload)
             return b""
 
         address = await start_peer(record)
-        cut_off = client("e2", [unused_address()], lambda: [address])
-        answer = await cut_off.forward(encode_request(request))
-        assert decode_response(answer).ok.error is ErrorKind.UNREACHABLE
-        assert asked == []
+        isolated = client("e2", [unused_address()], lambda: [address])
+        response = await isolated.forward(encode_request(request))
+        assert decode_response(response).ok.error is ErrorKind.UNREACHABLE
+        assert received == []
 
     started(main)
 
 
 def test_lease_ends_without_control_and_comes_back(started):
-    """Guards against a partitioned entry that goes on, or that never returns."""
+    """Guards against a partitioned entry that continues without a lease, and against
+    one that gets no lease after the partition has healed."""
 
     async def main(control):
         entry = client("e1", [unused_address(), control.address])
         await curio.spawn(entry.run, daemon=True)
-        await eventually(holds(entry))
+        await wait_until(holds_lease(entry))
         control.replica.follow(None)
         stopped_at = system_clock()
-        await eventually(lambda: not entry.has_lease(system_clock()))
+        await wait_until(lambda: not entry.has_lease(system_clock()))
         assert system_clock() - stopped_at <= LEASE_MS + 100
         control.replica.lead()
-        await eventually(holds(entry))
+        await wait_until(holds_lease(entry))
 
     started(main)
 
 
 def test_lease_survives_a_change_of_leader(started):
-    """Guards against an election that stops every entry."""
+    """Guards against an election during which entries lose their leases."""
 
     async def main(control):
         other = ControlFake("c2", control.peers, control.operators)
@@ -150,7 +151,7 @@
         other.replica.follow("c1")
         entry = client("e1", [control.address, other.address])
         await curio.spawn(entry.run, daemon=True)
-        await eventually(holds(entry))
+        await wait_until(holds_lease(entry))
         await entry.add_leave_notice(NOTICE)
         control.replica.follow(None)
         for _ in range(150):
@@ -159,9 +160,9 @@
         other.replica.commands = list(control.replica.commands)
         other.replica.lead()
         control.replica.follow("c2")
-        await eventually(lambda: other.state.leadership() is not None)
+        await wait_until(lambda: other.state.leadership() is not None)
         directory = other.state.leadership().directory
-        await eventually(lambda: directory.notices.since(0, system_clock()))
+        await wait_until(lambda: directory.notices.since(0, system_clock()))
         assert entry.has_lease(system_clock())
         assert directory.live_entries() != ()
         await other.stop()
--- a/pollenfold/tests/entry/test_drain.py
+++ b/pollenfold/tests/entry/test_drain.py
@@ -1,4 +1,4 @@
-"""A planned stop under load cuts no request off."""
+"""A planned stop under load aborts no request."""
 
 import curio
 
@@ -9,8 +9,8 @@
 from pollenfold.tests.entry.conftest import HOST, until
 
 
-def test_planned_stop_under_load_cuts_nothing_off(call_path):
-    """Guards against requests in flight, or outcomes, that a stop loses."""
+def test_planned_stop_under_load_aborts_no_request(call_path):
+    """Guards against a stop that loses requests in flight or unstored outcomes."""
 
     async def main(path):
         path.ledger_timeout_ms = 3000.0
@@ -21,7 +21,7 @@
         keys = []
 
         async def call(number):
-            """Send until the port closes, half of them on kept connections."""
+            """Send until the port closes; half of the callers keep their connection."""
             caller = stopping.caller() if number < 3 else stopping
             for n in range(1000):
                 key = f"{number}-{n}" if number % 2 else None
@@ -58,7 +58,7 @@
 
 
 def test_stop_waits_for_a_request_that_is_still_arriving(call_path):
-    """Guards against a stop between the head and the body of a request."""
+    """Guards against a stop that drops a request between its head and its body."""
 
     async def main(path):
         await path.add_server()
@@ -80,7 +80,7 @@
 
 
 def test_caller_that_stops_sending_does_not_hold_up_the_stop(call_path):
-    """Guards against a stop that never ends."""
+    """Guards against a stop that waits endlessly for the rest of a request."""
 
     async def main(path):
         entry = await path.add_entry()
@@ -99,7 +99,8 @@
 
 
 def test_stop_waits_for_long_requests(call_path, monkeypatch):
-    """Guards against a stop that bounds requests in flight like unfinished reads."""
+    """Guards against a stop that applies the limit for unfinished reads to requests
+    that are being executed."""
     monkeypatch.setattr(server, "READ_WAIT_MS", 20.0)
 
     async def main(path):
--- a/pollenfold/tests/entry/test_gossip.py
+++ b/pollenfold/tests/entry/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between entries: pushes, digests, the first copy, garbage."""
+"""Gossip between entries: pushes, digests, the first copy, malformed messages."""
 
 import curio
 import pytest
@@ -29,7 +29,7 @@
 
 
 def test_push_reaches_all_peers_at_once(run, fleet):
-    """Guards against a leave that needs several rounds to be known."""
+    """Guards against a leave that takes several gossip rounds to reach all entries."""
 
     async def main():
         endpoint = make_endpoint(is_leaving=True)
@@ -71,8 +71,8 @@
 
 
 def test_starting_entry_copies_warm_states_and_leaves(run):
-    """Guards against a restart of an entry that turns warm endpoints cold, or
-    that forgets which endpoints are leaving."""
+    """Guards against a restarted entry that treats warm endpoints as cold or
+    leaving endpoints as serving."""
 
     async def main():
         fleet = GossipFleet(2)
@@ -93,8 +93,8 @@
 
 
 def test_entry_is_not_ready_while_no_peer_responds(run):
-    """Guards against an entry that starts with an empty table although its peers
-    hold one, and against one that never starts because they are gone."""
+    """Guards against an entry that becomes ready with an empty table although a peer
+    has one, and against one that never becomes ready because its peers are down."""
 
     async def main():
         fleet = GossipFleet(2)
@@ -110,7 +110,7 @@
 
 
 def test_first_entries_of_a_fleet_become_ready(run, fleet):
-    """Guards against entries that wait for each other's copy."""
+    """Guards against a deadlock of starting entries that wait for each other's copy."""
 
     async def main():
         async with curio.TaskGroup() as group:
@@ -139,11 +139,11 @@
     st.lists(st.tuples(st.integers(0, 4000), st.integers(0, 255)), max_size=6),
     st.integers(0, 64),
 )
-def test_damaged_messages_raise_one_error(message, damage, n_cut):
-    """Guards against a damaged message that ends the gossip task with an error that
-    nobody expects."""
+def test_damaged_messages_raise_one_error(message, damage, n_truncated):
+    """Guards against a damaged message that ends the gossip task with an unhandled
+    error: decoders may raise ValueError only."""
     decode, data = message
-    damaged = bytearray(data[: len(data) - n_cut])
+    damaged = bytearray(data[: len(data) - n_truncated])
     for position, value in damage:
         damaged[position % len(damaged)] = value
     try:
@@ -153,7 +153,7 @@
 
 
 def test_refused_messages_change_nothing(run, fleet):
-    """Guards against garbage and oversized names that reach the table."""
+    """Guards against malformed messages and oversized names that reach the table."""
 
     async def main():
         for payload in (b"", b"\xff" * 64, encode_request(Push(()))[:-3]):
@@ -167,7 +167,7 @@
 
 
 def test_push_over_sockets(run):
-    """Guards against a message that the real transport can't carry."""
+    """Guards against messages that exceed the limits of the real transport."""
 
     async def main():
         fleet = GossipFleet(1)
--- a/pollenfold/tests/entry/test_state.py
+++ b/pollenfold/tests/entry/test_state.py
@@ -1,4 +1,4 @@
-"""What an entry takes from lease responses that come late, twice or damaged."""
+"""How an entry applies lease responses that are late, repeated or malformed."""
 
 import json
 
@@ -33,13 +33,14 @@
     return LeaseResponse(**{**fields, **changes})
 
 
-def receive(state, answer, now, request=None):
+def receive(state, lease_response, now, request=None):
     request = request or state.request(0.0, Instant(now))
-    return state.receive(request, answer, Instant(now), Instant(now))
+    return state.receive(request, lease_response, Instant(now), Instant(now))
 
 
 def test_late_response_does_not_revert_the_configuration():
-    """Guards against a zone that is taken out and comes back by itself."""
+    """Guards against an evacuated zone that returns because a late response is
+    applied."""
     state = EntryState(OWN)
     old = response(1, [zone(1, "a", "in")])
     receive(state, response(2, [zone(2, "a", "out")]), 0)
@@ -50,7 +51,7 @@
 
 
 def test_part_of_a_configuration_is_not_in_force():
-    """Guards against an entry that works under half of a configuration."""
+    """Guards against an entry that serves under half of a configuration."""
     state = EntryState(OWN)
     receive(state, response(2, [zone(1, "a", "out")], cursor=1), 0)
     assert not state.lease.is_valid(Instant(1))
@@ -62,7 +63,7 @@
 
 
 def test_claim_to_hold_a_lease_must_still_be_true():
-    """Guards against more working entries than max_entries after an election."""
+    """Guards against more serving entries than max_entries after an election."""
     state = EntryState(OWN)
     receive(state, response(), 0)
     claim = state.request(0.0, Instant(1900))
@@ -74,7 +75,7 @@
 
 
 def test_unreadable_record_keeps_the_former_one_and_is_not_acknowledged():
-    """Guards against in force for a record that this entry can't read."""
+    """Guards against a record reported as in force that this entry can't parse."""
     state = EntryState(OWN)
     receive(state, response(1, [zone(1, "a", "out")]), 0)
     receive(state, response(3, [zone(2, "a", "x"), zone(3, "b", "out")]), 10)
@@ -86,7 +87,7 @@
 
 
 def test_response_of_a_former_leader_is_ignored():
-    """Guards against a lease or directory of a leader that was replaced."""
+    """Guards against a lease or directory from a leader that was replaced."""
     state = EntryState(OWN)
     receive(state, response(epoch=5, directory_revision=7, directory=(OWN,)), 0)
     late = response(epoch=4, directory_revision=9, directory=(OTHER,))
@@ -96,7 +97,8 @@
 
 
 def test_directory_is_forgotten_when_the_lease_ended():
-    """Guards against a warm-up owner under a directory that others replaced."""
+    """Guards against a warm-up owner chosen from an outdated directory: while the entry
+    had no lease, the other entries may have moved to a newer one."""
     state = EntryState(OWN)
     receive(state, response(directory_revision=7, directory=(OWN, OTHER)), 100)
     assert state.directory == Directory(7, (OWN, OTHER), Instant(100))
@@ -109,7 +111,7 @@
 
 
 def test_leave_notices_are_sent_again_to_a_new_leader():
-    """Guards against notices that are lost with the leader."""
+    """Guards against leave notices that are lost when the leader changes."""
     state = EntryState(OWN)
     notice = LeaveNotice("10.0.0.1:80", "s", 1)
     assert state.add_notice(notice, Instant(0))
--- a/pollenfold/tests/gateway/conftest.py
+++ b/pollenfold/tests/gateway/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the gateway's tests: a fake backend server, and a whole entry path."""
+"""Fixtures of the gateway's tests: a fake backend server and an entry's call path."""
 
 import random
 import re
@@ -43,7 +43,7 @@
 
 
 def is_whole(data):
-    """Return whether bytes hold a request with all of its body."""
+    """Return whether the bytes are a request with its complete body."""
     head, end, body = data.partition(b"\r\n\r\n")
     length = re.search(rb"content-length: (\d+)", head)
     return bool(end) and (length is None or len(body) >= int(length[1]))
@@ -54,11 +54,12 @@
     """A fake backend server on a loopback address.
 
     ``respond`` gets the request bytes and returns the bytes to write, or None to
-    reset the connection without an answer. ``closes`` ends it after an answer.
-    ``health`` returns the bytes of a health answer in place of a good one.
-    ``before_health`` is written before each health answer.
-    ``check_delay_ms`` is how long a health answer takes.
-    ``requests`` holds the requests that came, health checks apart.
+    reset the connection without a response. With ``closes`` the server closes each
+    connection after a response.
+    ``health`` returns the bytes of a health response in place of the healthy one.
+    ``before_health`` is written before each health response.
+    ``check_delay_ms`` is how long a health response takes.
+    ``requests`` holds the received requests without the health checks.
     """
 
     name: str
@@ -137,7 +138,7 @@
 
 
 class Path:
-    """An entry's path of a request to fake backend servers."""
+    """An entry's call path from a request to fake backend servers."""
 
     def __init__(self, backends, zone="a", link=None, **route_changes):
         clock = system_clock
@@ -219,7 +220,7 @@
 
 @pytest.fixture
 def with_path(run):
-    """Return a function that runs ``body(path, *backends)`` on a whole path."""
+    """Return a function that runs ``body(path, *backends)`` on a call path."""
 
     def run_body(body, *backends, **route_changes):
         async def main():
--- a/pollenfold/tests/gateway/test_daemon.py
+++ b/pollenfold/tests/gateway/test_daemon.py
@@ -1,4 +1,4 @@
-"""The entry as a daemon, apart from its sockets."""
+"""The gateway daemon: reload, requests during the start, pipelined requests."""
 
 import json
 import socket
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def gateway():
-    """Return a gateway that isn't started, with settings that can't be read anew."""
+    """Return a gateway that isn't started and whose settings fail to reload."""
 
     def reload():
         raise ValueError("settings.json: expected a table")
@@ -50,8 +50,8 @@
     settings.caller_listener.close()
 
 
-def test_settings_that_cannot_be_used_are_reported(gateway):
-    """Guards against a reload that changes nothing and says so nowhere."""
+def test_invalid_settings_are_reported(gateway):
+    """Guards against a reload that fails without a log line."""
     lines = []
     gateway.log._write = lambda data: lines.append(data.decode()) or len(data)
     gateway.reload()
@@ -67,7 +67,7 @@
 
 
 def test_request_just_after_the_start_waits_for_the_first_configuration(gateway, run):
-    """Guards against a refusal of callers that come while an entry starts."""
+    """Guards against refused requests that arrive while an entry starts."""
 
     async def configure():
         await curio.sleep(0.05)
@@ -76,42 +76,44 @@
 
     async def main():
         await curio.spawn(configure, daemon=True)
-        # The configuration has no route for it, which only it can tell.
+        # 404 shows that the request waited: only the configuration, which has no
+        # route for it, leads to this status.
         assert (await gateway.handle_caller(REQUEST)).status == 404
 
     run(main)
 
 
-def test_request_without_a_configuration_is_refused_in_the_end(gateway, run):
-    """Guards against callers that are kept by an entry that is cut off."""
+def test_request_without_a_configuration_is_refused_after_a_wait(gateway, run):
+    """Guards against requests that an isolated entry holds without end."""
 
     async def main():
         assert (await gateway.handle_caller(REQUEST)).status == 503
         waited_from = system_clock()
         assert (await gateway.handle_caller(REQUEST)).status == 503
-        # Only the first moments after the start are worth a wait.
+        # Requests wait only during the first moments after the start.
         assert system_clock() - waited_from < 200.0
 
     run(main)
 
 
 def test_connections_wait_while_the_process_loads():
-    """Guards against callers that are refused while a process starts."""
+    """Guards against connections refused while a process starts."""
     with open_listener("127.0.0.1", 0) as listener:
         address = listener.getsockname()
-        with socket.create_connection(address, timeout=5) as early:
-            early.sendall(b"early")
+        with socket.create_connection(address, timeout=5) as caller:
+            caller.sendall(b"early")
             client, _ = listener.accept()
             with client:
                 assert client.recv(10) == b"early"
 
 
-@pytest.mark.parametrize(("is_idempotent", "n_most"), [(True, 2), (False, 1)])
-def test_idempotent_requests_of_one_connection_run_side_by_side(
-    gateway, run, is_idempotent, n_most
+@pytest.mark.parametrize(("is_idempotent", "max_concurrent"), [(True, 2), (False, 1)])
+def test_idempotent_requests_of_one_connection_are_executed_concurrently(
+    gateway, run, is_idempotent, max_concurrent
 ):
-    """Guards against a lookup that waits for the one before it, and against an order
-    that runs beside another and behind an answer that closes the connection."""
+    """Guards against an idempotent request that waits for the one before it, and
+    against a non-idempotent one that is executed concurrently with another or after a
+    response that closes the connection."""
     route = Route("r1", "/x/", is_idempotent, (Part("s", 1.0),), 800.0, 200.0, 2)
     configuration = RoutingConfiguration(1, {"h": sorted_routes([route])}, {})
     running = []
@@ -134,6 +136,6 @@
             data = b""
             while data.count(b"HTTP/1.1 200") < 2:
                 data += await sock.recv(65536)
-        assert data.endswith(b"%d" % n_most)
+        assert data.endswith(b"%d" % max_concurrent)
 
     run(main)
--- a/pollenfold/tests/gateway/test_feeds.py
+++ b/pollenfold/tests/gateway/test_feeds.py
@@ -1,4 +1,4 @@
-"""The feeds of an entry while their connections break."""
+"""The feeds of an entry when connections break or replicas lost their state."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 class FakeFeed(Feed):
-    """An open feed that keeps what was sent, or fails to send."""
+    """An open feed that records the sent messages, or fails to send."""
 
     def __init__(self, zone, error=None, n_endpoints=None):
         super().__init__(None)
@@ -37,14 +37,16 @@
     await feeds._request_larger_list(feed)
 
 
-def n_lists(feed):
+def n_list_requests(feed):
     return sum("list" in message for message in feed.sent)
 
 
 @pytest.mark.parametrize("error", [None, BrokenPipeError()])
-def test_new_source_is_asked_for_news_though_the_former_one_is_broken(run, error):
-    """Guards against an entry that hears of no endpoint any more because it couldn't
-    tell its former source that it left."""
+def test_updates_are_requested_from_a_new_source_though_the_former_one_is_broken(
+    run, error
+):
+    """Guards against an entry that receives no more updates on endpoints because its
+    message to the former update source failed."""
 
     async def main():
         feeds = make_feeds()
@@ -62,9 +64,9 @@
     run(main)
 
 
-def test_start_beside_a_source_that_lost_its_disk_asks_another_for_endpoints(run):
-    """Guards against entries that refuse all requests for a second after a loss of
-    power, since the replica of their zone came back with an empty disk."""
+def test_start_with_a_source_that_lost_its_disk_requests_the_list_of_another(run):
+    """Guards against entries that refuse all requests for a second after a power loss,
+    since the replica of their zone came back with an empty disk."""
 
     async def main():
         feeds = make_feeds()
@@ -74,26 +76,26 @@
         await open_feed(feeds, "full", full)
         await open_feed(feeds, "also_full", also_full)
         assert feeds._source == "blank"
-        assert [n_lists(feed) for feed in (blank, full, also_full)] == [0, 1, 0]
+        assert [n_list_requests(feed) for feed in (blank, full, also_full)] == [0, 1, 0]
 
     run(main)
 
 
-def test_replica_of_an_earlier_version_is_asked_for_its_list(run):
-    """Guards against an entry without endpoints while versions are mixed: an earlier
-    one doesn't say how many endpoints it knows."""
+def test_list_is_requested_from_a_replica_of_an_earlier_version(run):
+    """Guards against an entry without endpoints while versions are mixed: a replica of
+    an earlier version doesn't report how many endpoints it knows."""
 
     async def main():
         feeds = make_feeds()
         earlier = FakeFeed("a")
         await open_feed(feeds, "earlier", earlier)
-        assert n_lists(earlier) == 1
+        assert n_list_requests(earlier) == 1
 
     run(main)
 
 
-def test_list_that_was_lost_with_its_feed_is_asked_of_another(run):
-    """Guards against an entry that waits for a list from a replica that ended."""
+def test_list_that_was_lost_with_its_feed_is_requested_from_another(run):
+    """Guards against an entry that waits for a list from a replica that stopped."""
 
     async def main():
         feeds = make_feeds()
@@ -101,6 +103,6 @@
         feeds._remove_feed("lost")
         other = FakeFeed("b", n_endpoints=33)
         await open_feed(feeds, "other", other)
-        assert n_lists(other) == 1
+        assert n_list_requests(other) == 1
 
     run(main)
--- a/pollenfold/tests/gateway/test_limits.py
+++ b/pollenfold/tests/gateway/test_limits.py
@@ -1,4 +1,4 @@
-"""Callers that leave, and budgets of several entries together."""
+"""Callers that disconnect, and the probe budget shared by several entries."""
 
 import curio
 import pytest
@@ -12,8 +12,11 @@
 )
 
 
-async def leave_while_it_runs(path, backend, method):
-    """Send a request, close while the backend server works; wait half a second."""
+async def disconnect_during_execution(path, backend, method):
+    """Send a request, disconnect while it is executed, then wait half a second.
+
+    Return how many connections of the backend server were closed meanwhile.
+    """
     server = HttpServer(path.forwarder.handle)
     port = await server.start("127.0.0.1", 0)
     sock = await curio.open_connection("127.0.0.1", port)
@@ -26,35 +29,35 @@
     return backend.n_closed - n_closed
 
 
-def test_work_for_a_caller_that_left_is_cancelled(with_path):
-    """Guards against endpoints that work on for nobody."""
+def test_request_of_a_disconnected_caller_is_cancelled(with_path):
+    """Guards against endpoints that keep executing a request whose caller is gone."""
 
     async def body(path, backend):
         backend.delay_ms = 250
         backend.respond = lambda request: None
-        assert await leave_while_it_runs(path, backend, b"GET") == 0
+        assert await disconnect_during_execution(path, backend, b"GET") == 0
         path.log.flush()
         assert any("kind=caller_gone" in line for line in path.lines)
 
     with_path(body, Backend("one"), timeout_ms=5000.0)
 
 
-def test_non_idempotent_work_is_not_ended_half_done(with_path):
-    """Guards against an action that is cut off because its caller left."""
+def test_non_idempotent_request_of_a_disconnected_caller_is_completed(with_path):
+    """Guards against a non-idempotent request aborted when its caller disconnects."""
 
     async def body(path, backend):
         backend.delay_ms = 250
-        await leave_while_it_runs(path, backend, b"POST")
+        await disconnect_during_execution(path, backend, b"POST")
         path.log.flush()
-        done = [line for line in path.lines if "event=request_done" in line]
-        assert len(done) == 1
-        assert "one:responded" in done[0]
+        done_lines = [line for line in path.lines if "event=request_done" in line]
+        assert len(done_lines) == 1
+        assert "one:responded" in done_lines[0]
 
     with_path(body, Backend("one"), timeout_ms=5000.0, is_idempotent=False)
 
 
-def test_request_of_a_caller_that_left_is_not_sent_again(with_path):
-    """Guards against a second send for nobody."""
+def test_request_of_a_disconnected_caller_is_not_retried(with_path):
+    """Guards against a retry of a request whose caller has disconnected."""
 
     async def body(path, *backends):
         for backend in backends:
@@ -77,10 +80,10 @@
 
 @pytest.mark.parametrize("n_entries", [1, 4])
 def test_probes_of_all_entries_stay_within_the_budget(run, n_entries):
-    """Guards against entries that each spend the whole budget.
+    """Guards against entries that each use the whole probe budget.
 
-    The budget is a number of probes a second for each endpoint; a burst of five
-    seconds may come on top once.
+    The budget is a number of probes per second and endpoint; a burst of five
+    seconds' worth may be added once.
     """
 
     async def main():
--- a/pollenfold/tests/gateway/test_notices.py
+++ b/pollenfold/tests/gateway/test_notices.py
@@ -1,4 +1,4 @@
-"""What endpoints say of themselves in answers: that they leave, or want a rest."""
+"""Notices in responses of endpoints: leaving, and back-off by Retry-After."""
 
 import curio
 import pytest
@@ -16,13 +16,13 @@
 
 
 def refusal(retry_after):
-    """Return what answers a request that the server turns away."""
+    """Return a ``respond`` function that refuses requests with this Retry-After."""
     header = b"retry-after: " + retry_after
     return lambda request: answer(503, b"", b"q1", NOT_EXECUTED, header)
 
 
 async def check_that_only_the_first_request_reaches(backend, path):
-    """Send some requests; after the first the backend may not even be asked."""
+    """Send some requests; after the first the backend may not even be probed."""
     await path.get()
     assert len(backend.requests) == 1
     n_checks = backend.n_checks
@@ -32,50 +32,51 @@
 
 
 @pytest.mark.parametrize("status", [200, 404, 500, 503])
-def test_server_that_says_that_it_leaves_gets_no_further_request(with_path, status):
-    """Guards against requests that reach a server after its answer said that it
-    leaves, when no announcement came through."""
-    leaver = Backend("leaver", lambda request: answer(status, b"", b"q1", LEAVING))
+def test_leaving_server_gets_no_further_request(with_path, status):
+    """Guards against requests to a server whose response announced that it is leaving,
+    when its announcement to the control replicas was lost."""
+    server = Backend("leaving", lambda request: answer(status, b"", b"q1", LEAVING))
     other = Backend("other", load=b"0,0,6,200")
 
-    async def body(path, leaver, other):
-        await check_that_only_the_first_request_reaches(leaver, path)
+    async def body(path, server, other):
+        await check_that_only_the_first_request_reaches(server, path)
 
-    with_path(body, leaver, other)
+    with_path(body, server, other)
 
 
-def test_health_answer_that_says_leaving_counts_too(with_path):
-    """Guards against a first request to a server that just said that it leaves."""
-    leaver = Backend("leaver", health=lambda: health(200, "leaver", LEAVING))
+def test_leaving_header_of_a_health_response_is_applied(with_path):
+    """Guards against a first request to a server whose health response just announced
+    that it is leaving."""
+    server = Backend("leaving", health=lambda: health(200, "leaving", LEAVING))
 
-    async def body(path, leaver):
+    async def body(path, server):
         assert (await path.get()).status == 503
-        assert not leaver.requests
+        assert not server.requests
 
-    with_path(body, leaver)
+    with_path(body, server)
 
 
-def test_word_binds_the_life_and_not_the_address(with_path):
-    """Guards against an announcement on its way that brings a leaving server back,
-    and against a new server that is left out for what the one before it said."""
-    leaver = Backend("leaver", lambda request: answer(200, b"", b"q1", LEAVING))
+def test_leaving_applies_to_the_incarnation_and_not_the_address(with_path):
+    """Guards against a delayed announcement that returns a leaving server to service,
+    and against a new incarnation that is excluded because the one before it left."""
+    server = Backend("leaving", lambda request: answer(200, b"", b"q1", LEAVING))
 
-    async def body(path, leaver):
+    async def body(path, server):
         await path.get()
-        path.announce(leaver, sequence=9)
+        path.announce(server, sequence=9)
         assert (await path.get()).status == 503
-        path.view.forget("leaver", "test")
-        path.announce(leaver, sequence=10)
+        path.view.forget("leaving", "test")
+        path.announce(server, sequence=10)
         assert (await path.get()).status == 503
-        path.announce(leaver, sequence=1, born_ms=2000)
+        path.announce(server, sequence=1, born_ms=2000)
         assert (await path.get()).status == 200
 
-    with_path(body, leaver)
+    with_path(body, server)
 
 
-def test_answer_of_another_instance_says_nothing_of_the_endpoint(with_path):
-    """Guards against a sound server that is left out for the one that had its
-    address."""
+def test_response_of_another_instance_does_not_affect_the_endpoint(with_path):
+    """Guards against a healthy server that is excluded because of a response from
+    another instance at its address."""
     backend = Backend("s1", lambda request: answer(421, b"", b"q1", LEAVING))
 
     async def body(path, backend):
@@ -87,55 +88,56 @@
 
 
 def test_idle_connections_to_a_leaving_server_are_closed(with_path):
-    """Guards against connections that keep a leaving server from ending."""
-    leaver = Backend("leaver", lambda request: answer(200, b"", b"q1", LEAVING))
+    """Guards against idle connections that keep a leaving server from stopping."""
+    server = Backend("leaving", lambda request: answer(200, b"", b"q1", LEAVING))
 
-    async def body(path, leaver):
+    async def body(path, server):
         await path.get()
         await path.balancer._connections.close_old()
         await curio.sleep(0.05)
-        assert leaver.n_closed == 1
+        assert server.n_closed == 1
 
-    with_path(body, leaver)
+    with_path(body, server)
 
 
-def test_server_that_asks_for_a_rest_gets_neither_requests_nor_questions(with_path):
-    """Guards against work for a server that said for how long it wants none, and
-    against one that gets none any more when that time is over."""
-    tired = Backend("tired", refusal(b"0.4"))
+def test_server_in_back_off_gets_neither_requests_nor_probes(with_path):
+    """Guards against requests to a server during the back-off that it asked for, and
+    against a server that receives none after its back-off has ended."""
+    refusing = Backend("refusing", refusal(b"0.4"))
     other = Backend("other", load=b"0,0,6,200")
 
-    async def body(path, tired, other):
-        await check_that_only_the_first_request_reaches(tired, path)
-        tired.respond = None
+    async def body(path, refusing, other):
+        await check_that_only_the_first_request_reaches(refusing, path)
+        refusing.respond = None
         await curio.sleep(0.5)
         for _ in range(5):
             await path.get()
-        assert len(tired.requests) > 1
+        assert len(refusing.requests) > 1
 
-    with_path(body, tired, other)
+    with_path(body, refusing, other)
 
 
-def test_request_is_refused_at_once_while_all_servers_rest(with_path):
-    """Guards against a search that lasts until the deadline, and against a refused
-    caller that comes back before any server wants work."""
-    tired = Backend("tired", refusal(b"2"))
+def test_request_is_refused_immediately_while_all_servers_back_off(with_path):
+    """Guards against a search that lasts until the deadline, and against a Retry-After
+    that lets a refused caller return before any server's back-off ends."""
+    refusing = Backend("refusing", refusal(b"2"))
 
-    async def body(path, tired):
+    async def body(path, refusing):
         await path.get()
         started_at = await curio.clock()
         response = await path.get()
         assert await curio.clock() - started_at < 0.1
         assert response.status == 503
         assert float(dict(response.headers)[b"retry-after"]) >= 1.8
-        assert len(tired.requests) == 1
+        assert len(refusing.requests) == 1
 
-    with_path(body, tired)
+    with_path(body, refusing)
 
 
-def test_half_of_the_servers_that_rest_leave_the_work_to_the_others(with_path):
-    """Load pattern: a burst in which half of the servers shed and ask for 2 s."""
-    tired = [Backend(f"t{number}", refusal(b"2")) for number in range(4)]
+def test_requests_go_to_the_others_while_half_of_the_servers_back_off(with_path):
+    """Load pattern: a burst in which half of the servers shed load with a 2 s
+    Retry-After."""
+    refusing = [Backend(f"t{number}", refusal(b"2")) for number in range(4)]
     others = [Backend(f"o{number}", delay_ms=10.0) for number in range(4)]
 
     async def body(path, *backends):
@@ -149,8 +151,9 @@
             for task in tasks:
                 await task.join()
         assert statuses.count(200) >= 54
-        # Those that were asked at one moment may each get one request.
-        assert all(len(backend.requests) <= 6 for backend in tired)
-        assert sum(len(backend.requests) for backend in tired) <= 16
+        # Concurrent requests that probed a server before its first refusal may each
+        # still reach it.
+        assert all(len(backend.requests) <= 6 for backend in refusing)
+        assert sum(len(backend.requests) for backend in refusing) <= 16
 
-    with_path(body, *tired, *others)
+    with_path(body, *refusing, *others)
--- a/pollenfold/tests/gateway/test_slow_link.py
+++ b/pollenfold/tests/gateway/test_slow_link.py
@@ -1,4 +1,4 @@
-"""An entry whose own link is slow and carries long bodies."""
+"""An entry whose own network link is slow and carries large bodies."""
 
 import socket as sockets
 
@@ -14,8 +14,9 @@
 HEADERS = [(b"host", b"h.example")]
 
 
-def with_sink(run, body):
-    """Run ``body(port, arrivals)``; ``arrivals`` gets the instant of each read."""
+def with_sink_server(run, body):
+    """Run ``body(port, arrivals)``; ``arrivals`` lists the time and size of each read
+    of a server that only reads."""
     arrivals = []
 
     async def serve(client, address):
@@ -32,7 +33,7 @@
 
 
 def test_long_body_is_written_in_pieces_at_the_pace_of_the_link(run):
-    """Guards against a queue on a slow link that short requests would wait behind."""
+    """Guards against a send queue on a slow link that delays short requests."""
 
     async def body(port, arrivals):
         pool = ConnectionPool("127.0.0.1", port, 5, system_clock, Link(256.0))
@@ -46,11 +47,11 @@
         assert sum(n for _, n in arrivals) > 60_000
         assert max(n for _, n in arrivals) <= 16 * 1024
 
-    with_sink(run, body)
+    with_sink_server(run, body)
 
 
 def test_short_request_does_not_wait_behind_a_long_one(run):
-    """Load pattern: a lookup while an upload is passed on over a slow link."""
+    """Load pattern: a lookup while an upload is forwarded over a slow link."""
 
     async def body(port, arrivals):
         pool = ConnectionPool("127.0.0.1", port, 5, system_clock, Link(256.0))
@@ -65,12 +66,12 @@
         assert system_clock() - started_at < 50.0
         await task.cancel()
 
-    with_sink(run, body)
+    with_sink_server(run, body)
 
 
-def test_question_waits_for_what_the_own_link_has_queued(with_path):
-    """Guards against an endpoint that is held unreachable since its answer stood
-    behind an upload on the entry's own link."""
+def test_probe_waits_for_the_backlog_of_the_own_link(with_path):
+    """Guards against an endpoint considered unreachable because its probe response was
+    queued behind an upload on the entry's own link."""
     backend = Backend("s1", check_delay_ms=60.0)
 
     async def body(path, backend):
@@ -81,16 +82,16 @@
     with_path(body, backend, link=Link(256.0))
 
 
-def test_time_on_the_link_is_not_taken_for_work(with_path):
-    """Guards against an estimate of work that holds the time of long bodies."""
+def test_transfer_time_is_not_counted_as_work(with_path):
+    """Guards against a work estimate that includes transfer time of large bodies."""
     backend = Backend("s1", delay_ms=20.0)
 
     async def body(path, backend):
         for _ in range(20):
             response = await path.get(b"POST", body=bytes(20_000))
             assert response.status == 200
-        work = path.forwarder._book._works["r1"]
-        assert work.get() < 65.0
+        work_estimate = path.forwarder._book._works["r1"]
+        assert work_estimate.get() < 65.0
 
     with_path(body, backend, link=Link(256.0))
 
@@ -103,7 +104,7 @@
 
 
 async def send_while_slow(path, backend, from_s, to_s):
-    """Return after how many ms a long request was in; the backend is slow meanwhile."""
+    """Return the ms until a large request had arrived at a backend that slows down."""
     started_at = system_clock()
     await curio.spawn(slow_from_to, backend, from_s, to_s, daemon=True)
     response = await path.get(b"POST", body=bytes(40_000), deadline=b"3000")
@@ -114,8 +115,8 @@
 def test_end_of_a_long_request_waits_while_its_endpoint_is_slow(with_path):
     """Load pattern: uploads over a slow link to endpoints whose speed changes.
 
-    Guards against work that begins at a seventh of the speed, since the load was asked
-    for before the body went out.
+    Guards against a request that is executed at a seventh of the speed, because the
+    load was probed before the body was sent.
     """
     backend = Backend("s1")
 
@@ -127,7 +128,7 @@
 
 
 def test_end_of_a_long_request_is_not_held_past_its_target(with_path):
-    """Guards against a request that waits for an endpoint that stays slow."""
+    """Guards against a request that waits too long for an endpoint that stays slow."""
     backend = Backend("s1")
 
     async def body(path, backend):
@@ -138,8 +139,8 @@
     )
 
 
-def test_request_that_is_held_back_ends_with_its_caller(with_path):
-    """Guards against work that begins though nobody waits for it any more."""
+def test_held_request_ends_when_its_caller_disconnects(with_path):
+    """Guards against the execution of a held request whose caller has disconnected."""
     backend = Backend("s1")
 
     async def body(path, backend):
@@ -166,7 +167,7 @@
 
 
 def test_short_request_is_not_held_back(with_path):
-    """Guards against one more round trip for each request."""
+    """Guards against an extra round trip for short requests."""
     backend = Backend("s1")
 
     async def body(path, backend):
@@ -176,10 +177,11 @@
     with_path(body, backend, link=Link(256.0))
 
 
-def test_search_outlasts_a_link_that_is_full_of_bodies_still_being_read(with_path):
+def test_search_continues_while_the_link_is_full_of_request_bodies(with_path):
     """Load pattern: a lookup while several callers send uploads over a slow link.
 
-    Guards against a refusal for want of a server when no answer could come through.
+    Guards against a refusal for lack of a backend server when the full link delays all
+    probe responses.
     """
     backend = Backend("s1", check_delay_ms=250.0)
 
