--- a/pollenfold/gateway/daemon.py
+++ b/pollenfold/gateway/daemon.py
@@ -124,14 +124,14 @@
         )
         self.started_at = clock()
         self.is_stopping = False
-        self.callers = HttpServer(
+        self.caller_server = HttpServer(
             self.handle_caller,
             limits=self._caller_limits,
             on_rejected=self._log_rejected,
             runs_beside_others=self.forwarder.is_idempotent,
             window_bytes=BODY_WINDOW_BYTES,
         )
-        self.platform = HttpServer(self.handle_platform)
+        self.platform_server = HttpServer(self.handle_platform)
         self._is_ready = False
 
     def _caller_limits(self) -> ServerLimits:
@@ -185,7 +185,7 @@
             self.metrics.set("configuration_version", self.view.orders.version)
             self.metrics.set("orders_index", self.view.orders.index)
             self.metrics.set("feeds_connected", self.feeds.n_connected)
-            self.metrics.set("requests_in_flight", self.callers.n_in_flight)
+            self.metrics.set("requests_in_flight", self.caller_server.n_in_flight)
             self.metrics.set("endpoints", len(self.view.endpoints))
             self.metrics.set("endpoints_resting", self.view.n_backing_off)
             self.metrics.set("entries", self.view.fleet.get(system_clock()))
@@ -215,12 +215,12 @@
     metrics = HttpServer(gateway.handle_platform)
     async with curio.TaskGroup(wait=None) as group:
         stop = await group.spawn(wait_for_stop, gateway.reload)
-        await gateway.platform.start(settings.ready_host, settings.ready_port)
+        await gateway.platform_server.start(settings.ready_host, settings.ready_port)
         try:
             await metrics.start(settings.host, settings.metrics_port)
         except OSError as error:
             gateway.log.state("metrics_unavailable", detail=str(error))
-        caller_port = await gateway.callers.start_on(settings.caller_listener)
+        caller_port = await gateway.caller_server.start_on(settings.caller_listener)
         await group.spawn(gateway.feeds.run)
         await group.spawn(gateway.balancer.run)
         await group.spawn(gateway.log.run)
@@ -239,11 +239,11 @@
     """Shut down: report unready, close the listener, wait for requests in flight."""
     gateway.is_stopping = True
     stop_at = system_clock() + gateway.settings.grace_ms - STOP_MARGIN_MS
-    gateway.callers.announce_stop()
-    gateway.log.state("stopping", n_in_flight=gateway.callers.n_in_flight)
+    gateway.caller_server.announce_stop()
+    gateway.log.state("stopping", n_in_flight=gateway.caller_server.n_in_flight)
     await curio.sleep(STOP_NOTICE_MS / 1000)
-    await gateway.callers.stop()
+    await gateway.caller_server.stop()
     remaining_ms = max(0.0, stop_at - system_clock())
     async with curio.ignore_after(remaining_ms / 1000):
-        await gateway.callers.wait_idle()
-    gateway.log.state("stopped", n_in_flight=gateway.callers.n_in_flight)
+        await gateway.caller_server.wait_idle()
+    gateway.log.state("stopped", n_in_flight=gateway.caller_server.n_in_flight)
--- a/pollenfold/tests/gateway/test_daemon.py
+++ b/pollenfold/tests/gateway/test_daemon.py
@@ -129,7 +129,7 @@
         gateway.view.configuration = configuration
         gateway.view.take_announcements([(ENDPOINT.encode(), 0.0)])
         gateway.forwarder.handle = handle
-        port = await gateway.callers.start_on(gateway.settings.caller_listener)
+        port = await gateway.caller_server.start_on(gateway.settings.caller_listener)
         sock = await curio.open_connection("127.0.0.1", port)
         async with sock:
             await sock.sendall(b"GET /x/1 HTTP/1.1\r\nhost: h\r\n\r\n" * 2)
