--- a/pollenfold/entry/actions.py
+++ b/pollenfold/entry/actions.py
@@ -1,4 +1,4 @@
-"""Non-idempotent requests: each runs under one claim in the ledger."""
+"""Executes each non-idempotent request under one claim in the ledger."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 MAX_STORED_BODY_BYTES = 64 * 1024
 MAX_CLAIMS_IN_FLIGHT = 256
-"""A ledger that falls behind makes every claim wait; more claims at once would only
-add to what it has to do. At 5 ms a claim they are far more than one entry can send."""
+"""An overloaded ledger delays every claim, and more concurrent claims would only add to
+its load. At 5 ms per claim, one entry has far fewer than this in flight."""
 
 REPLAY_WAIT_MS = 250.0
-"""How long a resend waits for the outcome of the request that holds the claim."""
+"""How long a resent request waits for the outcome of the one that holds the claim."""
 
 REPLAY_POLL_MS = 20.0
 STORE_ATTEMPTS = 20
@@ -43,8 +43,8 @@
 class ActionRunner:
     """Claims, dispatches and stores the outcome of non-idempotent requests.
 
-    ``n_storing`` counts outcomes that are still being stored; a planned stop waits
-    until there is none.
+    ``n_storing`` counts outcomes that are still being stored; a planned shutdown waits
+    until it is 0.
     """
 
     def __init__(self, ledger: LedgerClient, entry_id: str, clock: Clock) -> None:
@@ -62,10 +62,10 @@
         deadline: Instant,
         dispatch: Dispatch,
     ) -> Response:
-        """Run a request at most once and return its one final response.
+        """Execute a request at most once and return its final response.
 
         ``dispatch`` is called at most once, and only after a majority of the ledger
-        stored the claim.
+        has stored the claim.
         """
         if self._n_claiming >= MAX_CLAIMS_IN_FLIGHT:
             return _overloaded(key, is_callers_key)
@@ -90,17 +90,19 @@
             kind = (
                 ErrorKind.DEADLINE_EXCEEDED if is_late else ErrorKind.LEDGER_UNAVAILABLE
             )
-            response = await self._give_up(register, claim_id, is_callers_key, kind)
+            response = await self._abandon_claim(
+                register, claim_id, is_callers_key, kind
+            )
         response.headers.append((b"idempotency-key", key))
         return response
 
     async def _claim(
         self, register: str, spec: ServiceSpec, deadline: Instant
     ) -> tuple[ClaimAnswer, str]:
-        """Return the answer to a claim and the id of the claim.
+        """Send a claim to the ledger; return its result and the claim's id.
 
-        Wait briefly for the outcome of another request that holds the key, but never
-        past the deadline.
+        If another request holds the key, wait briefly for the outcome of that request,
+        but never past the deadline.
         """
         wait_until = min(deadline, add_ms(self._clock(), REPLAY_WAIT_MS))
         while True:
@@ -121,12 +123,14 @@
         result = await dispatch()
         if isinstance(result, Response):
             relayed = Response(result.status, backend_headers(result), result.body)
-            await self._store(register, claim_id, relayed)
+            await self._store_in_background(register, claim_id, relayed)
             relayed.headers.append((b"pollenfold-run-state", b"ran"))
             return relayed
         state = result.run_state or ERROR_TABLE[result.kind].run_state
         if state is RunState.DID_NOT_RUN:
-            return await self._give_up(register, claim_id, is_callers_key, result.kind)
+            return await self._abandon_claim(
+                register, claim_id, is_callers_key, result.kind
+            )
         logger.warning(
             "event=outcome_unknown key={!r} claim={} cause={}",
             register,
@@ -135,21 +139,23 @@
         )
         return error_response(ErrorKind.OUTCOME_UNKNOWN)
 
-    async def _give_up(
+    async def _abandon_claim(
         self, register: str, claim_id: str, is_callers_key: bool, kind: ErrorKind
     ) -> Response:
-        """Abandon the claim, and only then say that the request did not run.
+        """Abandon the claim, and report ``did_not_run`` only if that succeeded.
 
-        Without a majority for that, a caller's key may be held by another entry; a
-        key that this entry generated is known to nobody else.
+        Without a majority for the abandonment, another entry may hold a caller's key.
+        A key that this entry generated is unknown to other entries.
         """
         abandoned = await self._ledger.abandon(register, claim_id)
         if abandoned.is_ok() or not is_callers_key:
             return error_response(kind, run_state=RunState.DID_NOT_RUN.value)
         return error_response(kind, run_state=RunState.OUTCOME_UNKNOWN.value)
 
-    async def _store(self, register: str, claim_id: str, response: Response) -> None:
-        """Store an outcome while the response goes to the caller."""
+    async def _store_in_background(
+        self, register: str, claim_id: str, response: Response
+    ) -> None:
+        """Start a task that stores the outcome; the response doesn't wait for it."""
         outcome = _outcome(response)
         self.n_storing += 1
         await curio.spawn(
@@ -173,9 +179,9 @@
 
 
 def _overloaded(key: bytes, is_callers_key: bool) -> Response:
-    """Refuse a request for which the ledger wasn't asked.
+    """Refuse a request without sending a claim to the ledger.
 
-    An earlier request with a caller's key may have run.
+    An earlier request with the same caller's key may have run.
     """
     state = RunState.OUTCOME_UNKNOWN if is_callers_key else RunState.DID_NOT_RUN
     response = error_response(ErrorKind.LEDGER_UNAVAILABLE, run_state=state.value)
@@ -191,7 +197,7 @@
 
 
 def _replay(outcome: Outcome) -> Response:
-    """Return the stored response, marked as such."""
+    """Return the stored response, marked as replayed."""
     if _BODY_OMITTED in outcome.headers:
         detail = "the first response was too long to be stored"
         return error_response(
--- a/pollenfold/entry/attempts.py
+++ b/pollenfold/entry/attempts.py
@@ -16,10 +16,10 @@
 
 CONNECT_TIMEOUT_MS = 250.0
 CANCEL_CHECK_MS = 25.0
-"""How often a waiting attempt looks whether the caller closed its connection."""
+"""How often a waiting attempt checks whether the caller closed its connection."""
 
 DEADLINE_SLACK_MS = 5.0
-"""A server counts the remaining time in whole ms and answers a little early."""
+"""A server counts the remaining time in whole ms and responds slightly early."""
 
 SMALL_BODY_BYTES = 4096
 
@@ -28,8 +28,8 @@
 NOT_STARTED = b"pollenfold-not-started"
 TIMEOUT_HEADER = b"pollenfold-timeout-ms"
 EXCHANGE_ID = b"pollenfold-exchange-id"
-"""Names one exchange on its connection. A server that echoes it lets a duplicated
-response be told from the response to the next request on the connection."""
+"""Identifies one exchange on its connection. If the server echoes it, a duplicated
+response is distinguished from the response to the next request on the connection."""
 
 _OWN_HEADERS = HOP_HEADERS | {EXCHANGE_ID, TIMEOUT_HEADER}
 _ENTRY_HEADERS = frozenset(
@@ -39,22 +39,22 @@
 
 
 class CallerGone(Exception):
-    """The caller closed its connection, so nobody waits for the response."""
+    """The caller closed its connection, so the response is no longer needed."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended; ``response`` is set when a whole one came."""
+    """The result of an attempt; ``response`` is set if a complete one arrived."""
 
     outcome: AttemptOutcome
     response: Response | None = None
 
 
 def later_result(earlier: AttemptResult, later: AttemptResult) -> AttemptResult:
-    """Return what two attempts of one request tell about it.
+    """Return the result that counts after two attempts of one request.
 
-    An attempt that never started takes nothing back: after an earlier one that was
-    lost or expired the request may have run.
+    An attempt that never started does not override an earlier one that was lost or
+    expired, because the request may have run in the earlier one.
     """
     never_ran = (AttemptOutcome.NOT_STARTED, AttemptOutcome.UNREACHABLE)
     if later.outcome in never_ran and earlier.outcome not in never_ran:
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """The parts of a request that are the same for each attempt."""
+    """The data of a request that all its attempts share."""
 
     request: Request
     headers: Headers
@@ -79,27 +79,27 @@
 
 
 def forwarded_headers(request: Request, extra: Headers) -> Headers:
-    """Return the headers to send on: all but those of the caller's connection."""
+    """Return the headers to forward: all but those of the caller's connection."""
     headers = [pair for pair in request.headers if pair[0] not in _OWN_HEADERS]
     return headers + extra
 
 
 def relayed_headers(response: Response) -> Headers:
-    """Return the headers of a response that concern the caller."""
+    """Return the headers of a response that are relayed to the caller."""
     return [pair for pair in response.headers if pair[0] not in _OWN_HEADERS]
 
 
 def backend_headers(response: Response) -> Headers:
-    """Return the headers of a backend server's response that concern the caller.
+    """Return the headers of a backend server's response to relay to the caller.
 
-    Statements about the run are the entry's own. A backend server that calls an
-    entry itself may pass on those of another request.
+    Only the entry sets the headers about the execution. A backend server that calls
+    an entry itself may relay such headers of another request.
     """
     return [pair for pair in relayed_headers(response) if pair[0] not in _ENTRY_HEADERS]
 
 
 def classify_response(response: Response) -> AttemptOutcome:
-    """Return how a whole response counts for retries."""
+    """Classify a complete response for retries."""
     if response.status not in _SERVER_ERRORS:
         return AttemptOutcome.RESPONDED
     if response.status == 503 and find_header(response.headers, NOT_STARTED) == b"true":
@@ -108,11 +108,11 @@
 
 
 class OpenAttempt:
-    """A request over one pool, from the connection to the response.
+    """One exchange over a connection of a pool.
 
-    ``start`` sends it; ``wait`` reads the response and may be repeated while it
-    gives None; ``finish`` gives the connection back or closes it. With
-    ``wants_report`` the request asks for a load report on the response.
+    ``start`` sends the request; ``wait`` reads the response and may be repeated while
+    it returns None; ``finish`` returns the connection to the pool or closes it. With
+    ``wants_report`` the request asks for a load report in the response headers.
     """
 
     __slots__ = ("_pool", "_clock", "_connection", "started_at", "wants_report")
@@ -125,7 +125,7 @@
         self.wants_report = False
 
     async def start(self, exchange: Exchange) -> AttemptResult | None:
-        """Send the request; return a result only when the attempt is over."""
+        """Send the request; return a result only if the attempt has already ended."""
         left_ms = remaining_ms(exchange.deadline, self._clock())
         if left_ms <= 0.0:
             return AttemptResult(AttemptOutcome.NOT_STARTED)
@@ -161,7 +161,7 @@
     async def _send(
         connection: HttpConnection, request: Request, headers: Headers, left_ms: float
     ) -> ExchangeFailure | None:
-        """Write the request; raise TaskTimeout when the server stops reading.
+        """Write the request; raise TaskTimeout if the server stops reading.
 
         A small request always fits into the empty send buffer of an idle connection,
         so it is written without the cost of a timeout.
@@ -172,7 +172,7 @@
         return await curio.timeout_after(left_ms / 1000, send)
 
     async def wait(self, timeout_ms: float) -> AttemptResult | None:
-        """Wait for the response; None when ``timeout_ms`` passed before it."""
+        """Wait for the response; return None after ``timeout_ms`` without one."""
         assert self._connection is not None
         response = await self._connection.wait(timeout_ms)
         if isinstance(response, Response):
@@ -188,7 +188,7 @@
     async def wait_until(
         self, exchange: Exchange, until: Instant, is_cancellable: bool
     ) -> AttemptResult | None:
-        """Wait until an instant in slices, to notice a caller that went away.
+        """Wait until an instant, in slices that let it detect a disconnected caller.
 
         Raise CallerGone for a cancellable attempt whose caller closed its
         connection.
@@ -204,7 +204,7 @@
                 raise CallerGone
 
     def _mark_expired(self, result: AttemptResult, exchange: Exchange) -> AttemptResult:
-        """Return a 504 at the deadline as expired: the server stopped, as it should."""
+        """Return a 504 at the deadline as expired: the server stopped in time."""
         response = result.response
         if response is None or response.status != 504:
             return result
@@ -213,7 +213,7 @@
         return AttemptResult(AttemptOutcome.EXPIRED, response)
 
     async def finish(self) -> None:
-        """Give the connection back, or close it when the exchange is not complete."""
+        """Release the connection; an incomplete exchange closes it."""
         if self._connection is not None:
             connection = self._connection
             self._connection = None
@@ -221,7 +221,7 @@
 
 
 class Attempt(OpenAttempt):
-    """A request at one backend server, whose slot it holds."""
+    """An attempt at one backend server, which holds a slot there."""
 
     __slots__ = ("backend",)
 
--- a/pollenfold/entry/backends.py
+++ b/pollenfold/entry/backends.py
@@ -1,4 +1,4 @@
-"""The endpoints of one service as this entry uses them."""
+"""Per-entry state of an endpoint: counters, limits and pooled connections."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class Backend:
-    """One endpoint with its counts and its idle connections."""
+    """One endpoint with its counters and its connection pool."""
 
     endpoint: Endpoint
     candidate: Candidate
@@ -23,17 +23,17 @@
 
 
 def connection_limit(connections_per_endpoint: int, max_entries: int) -> int:
-    """Return this entry's part of the connections that an endpoint accepts.
+    """Return this entry's share of the connections that an endpoint accepts.
 
-    The divisor is the greatest number of entries and not the present one, so that
-    the sum stays below the limit while entries disagree on how many they are. For
-    example, 260 connections and 19 entries leave 13 for each.
+    The divisor is the maximum number of entries and not the current one, so that the
+    sum stays within the limit while entries have different views of the fleet size.
+    For example, with 260 connections and 19 entries each entry gets 13.
     """
     return max(1, connections_per_endpoint // max_entries)
 
 
 def make_backend(endpoint: Endpoint, key: str, n_connections: int) -> Backend:
-    """Return an endpoint seen for the first time, with nothing in flight."""
+    """Create the state of a new endpoint, with no requests in flight."""
     candidate = Candidate(key, endpoint.zone, endpoint.slots, limit=0)
     pool = Pool(endpoint.host, endpoint.port, n_connections)
     return Backend(endpoint, candidate, pool)
--- a/pollenfold/entry/forwarding.py
+++ b/pollenfold/entry/forwarding.py
@@ -1,8 +1,8 @@
-"""Forwards requests to the warm-up owners when this entry may use no endpoint.
+"""Forwards requests to warm-up owners if this entry may send to no endpoint.
 
 While every endpoint of a service is cold, for example after an outage, only their
-warm-up owners may send to them. Callers reach any entry, so the others pass requests
-on to an owner, one hop only.
+warm-up owners may send to them. Callers connect to any entry, so the other entries
+forward requests to an owner, over at most one hop.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Forwarder:
-    """Passes requests on to other entries over pooled connections."""
+    """Forwards requests to other entries over pooled connections."""
 
     def __init__(
         self,
@@ -46,17 +46,18 @@
     async def forward(
         self, exchange: Exchange, owners: tuple[str, ...], request_class: RequestClass
     ) -> Response | None:
-        """Return the response of the first owner that took the request.
+        """Return the response of the first owner that accepted the request.
 
-        None means that no owner was reached, so that nothing ran. Raise LostError
-        when the request was lost on the way and no owner responded: it may have run.
+        None means that no owner was reached, so the request did not run. Raise
+        LostError if the request was lost after it was sent and no owner responded:
+        it may have run.
         """
         headers = [*exchange.headers, (FORWARDED_BY, self._entry_id.encode())]
-        passed_on = Exchange(exchange.request, headers, exchange.deadline)
+        forwarded = Exchange(exchange.request, headers, exchange.deadline)
         last: Response | None = None
         is_lost = False
         for pool in self._choose_pools(owners):
-            result = await self._attempt(pool, passed_on, request_class)
+            result = await self._attempt(pool, forwarded, request_class)
             if result.response is not None:
                 last = result.response
                 if not _did_not_run(last):
@@ -100,11 +101,11 @@
 
 
 class LostError(Exception):
-    """A forwarded request may have run, and no response came."""
+    """A forwarded request may have run, but no response arrived."""
 
 
 def is_forwarded(request: Request) -> bool:
-    """Return whether another entry passed the request on."""
+    """Return whether another entry forwarded the request."""
     return request.header(FORWARDED_BY) is not None
 
 
--- a/pollenfold/entry/health.py
+++ b/pollenfold/entry/health.py
@@ -1,4 +1,4 @@
-"""What this entry may send to each endpoint now: warm-up, ejection, zone, drain."""
+"""Limits of endpoints from warm-up, outlier ejection, zone state and drain."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 NO_ZONE_RECORD = 0
 
 REPORT_INTERVAL_MS = 10.0
-"""A warm endpoint is asked again after this time; a younger report still has 87% of
-its weight."""
+"""How old the last load report of a warm endpoint is before the next one is requested.
+A younger report still has 87% of its weight."""
 
 
 class EndpointHealth:
-    """Limits of endpoints, and what is learned from each attempt.
+    """Computes the limits of endpoints and updates them from each attempt.
 
-    ``directory`` returns the live entries. ``on_warm_change`` is told when this entry
-    sees an endpoint turn cold or, as its warm-up owner, warm.
+    ``directory`` returns the live entries. ``on_warm_change`` is called when this entry
+    detects that an endpoint has turned cold or, as its warm-up owner, warm.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
     def limit(
         self, spec: ServiceSpec, endpoint: Endpoint, view: ConfigurationView
     ) -> int:
-        """Return the concurrency that this entry may have at the endpoint now."""
+        """Return this entry's current concurrency limit at the endpoint."""
         if not view.is_zone_in(endpoint.zone) or endpoint.name in view.drained:
             return 0
         now = self._clock()
@@ -70,7 +70,7 @@
         )
 
     def warmup_owner(self, endpoint: Endpoint, view: ConfigurationView) -> str | None:
-        """Return the entry that may send to a cold endpoint, None for a warm one."""
+        """Return the entry that may send to a cold endpoint; None if none is needed."""
         if not view.is_zone_in(endpoint.zone) or endpoint.name in view.drained:
             return None
         is_current = endpoint.warm.zone_version == zone_version(view, endpoint.zone)
@@ -79,23 +79,23 @@
         return warmup_owner(self._directory().entry_ids, endpoint.key)
 
     def budget(self, spec: ServiceSpec, max_entries: int) -> MeasurementBudget:
-        """Return this entry's part of the measurement budget of a service."""
-        known = self._budgets.get(spec.name)
-        if known is not None and known[0] is spec and known[1] == max_entries:
-            return known[2]
+        """Return this entry's share of the measurement budget of a service."""
+        cached = self._budgets.get(spec.name)
+        if cached is not None and cached[0] is spec and cached[1] == max_entries:
+            return cached[2]
         budget = MeasurementBudget(spec, max_entries, self._clock())
         self._budgets[spec.name] = (spec, max_entries, budget)
         return budget
 
     def retain(self, service: str, endpoints: tuple[Endpoint, ...]) -> None:
-        """Forget what was learned of endpoints of a service that are gone."""
+        """Drop the state of endpoints of a service that are not in ``endpoints``."""
         keys = {endpoint.key for endpoint in endpoints}
         self._warmup.retain(service, keys)
         if service in self._outliers:
             self._outliers[service].retain(keys)
 
     def start(self, endpoint: Endpoint) -> None:
-        """Note that a request is sent to the endpoint."""
+        """Record that a request is about to be sent to the endpoint."""
         detector = self._detector(endpoint.service)
         if detector.n_ejected:
             detector.start_trial(endpoint.key, self._clock())
@@ -103,7 +103,7 @@
     def wants_report(self, spec: ServiceSpec, backend: Backend) -> bool:
         """Return whether the next response should carry a load report.
 
-        The bytes are taken from the service's measurement budget.
+        The bytes of the report are charged to the service's measurement budget.
         """
         now = self._clock()
         is_warming = backend.candidate.is_warming
@@ -120,10 +120,10 @@
         latency_ms: float,
         was_requested: bool = True,
     ) -> LoadReport | None:
-        """Learn from an attempt that ended; ``result`` is None for a cancelled one.
+        """Record an attempt that ended; ``result`` is None for a cancelled one.
 
-        ``was_requested`` says whether a load report was asked for. Return the report
-        of the response, if there was a valid one.
+        ``was_requested`` is whether the request asked for a load report. Return the
+        load report of the response, if it has a valid one.
         """
         if result is None:
             return None
@@ -132,18 +132,18 @@
         outcome = result.outcome
         is_early = latency_ms < backend.candidate.ewma_ms
         if outcome is AttemptOutcome.EXPIRED and is_early:
-            # The caller gave less time than the server usually takes. Callers with
-            # short deadlines must not take servers out of service.
+            # The caller's timeout was below the usual latency of the server. Callers
+            # with short deadlines must not get servers ejected or marked cold.
             return None
         report = self._read_report(spec, result, was_requested, now)
         if outcome is AttemptOutcome.UNREACHABLE:
-            # Not a sign of coldness: a server that restarted announces itself anew.
+            # Doesn't indicate a cold server: a restarted one announces itself again.
             detector = self._detector(endpoint.service)
             detector.record(endpoint.key, True, latency_ms, now)
             return None
         was_shed = outcome is AttemptOutcome.NOT_STARTED
         if was_shed and result.response is None:
-            # Time or connections of this entry ran out; the server was not asked.
+            # This entry had no time or connection left; no request was sent.
             return None
         is_failure = outcome is not AttemptOutcome.RESPONDED and not was_shed
         if endpoint.warm.is_warm and not was_shed:
@@ -151,7 +151,7 @@
             detector.record(endpoint.key, is_failure, latency_ms, now)
         is_success = outcome is AttemptOutcome.RESPONDED
         if backend.candidate.is_warming and is_success and not was_requested:
-            # Without a report the server may still be cold, so the ramp waits.
+            # Without a report the server may still be cold, so the ramp is paused.
             return report
         change = self._warmup.record(
             endpoint,
@@ -178,7 +178,7 @@
         was_requested: bool,
         now: Instant,
     ) -> LoadReport | None:
-        """Read the load report of a response and count its bytes."""
+        """Parse the load report of a response and charge its bytes to the budget."""
         if result.response is None:
             return None
         value = find_header(result.response.headers, LOAD_HEADER)
@@ -190,6 +190,6 @@
 
 
 def zone_version(view: ConfigurationView, zone: str) -> int:
-    """Return the version of a zone's record, which rises when the zone returns."""
+    """Return the version of a zone's record; it increases when the zone returns."""
     spec = view.zones.get(zone)
     return NO_ZONE_RECORD if spec is None else spec.version
--- a/pollenfold/entry/hedges.py
+++ b/pollenfold/entry/hedges.py
@@ -15,19 +15,19 @@
     from .services import ServiceRuntime
 
 
-async def race(
+async def run_hedged_attempt(
     runtime: ServiceRuntime,
     attempt: Attempt,
     exchange: Exchange,
     tried: set[str],
     has_lease: Callable[[], bool],
 ) -> AttemptResult:
-    """Run an attempt, and a second one at another server when it takes long.
+    """Run an attempt, and start a second one at another server after the hedge delay.
 
-    The first whole response wins; the connection of the other attempt is closed, so
-    that its late response reaches nobody. The second server is added to ``tried``.
-    Without a lease there is no second attempt, since each one is new work. Raise
-    CallerGone when the caller left.
+    The first complete response wins; the connection of the other attempt is closed, so
+    that its late response is discarded. The second server is added to ``tried``.
+    Without a lease there is no second attempt, since it counts as new work. Raise
+    CallerGone if the caller closed its connection.
     """
     result: AttemptResult | None = None
     try:
@@ -66,8 +66,8 @@
 async def _first_response(
     runtime: ServiceRuntime, first: Attempt, second: Attempt, exchange: Exchange
 ) -> tuple[AttemptResult | None, AttemptResult]:
-    """Return the result of the first attempt, if it ended, and that of the race."""
-    own: AttemptResult | None = None
+    """Return the result of the first attempt, if it ended, and the one that counts."""
+    first_result: AttemptResult | None = None
     last: AttemptResult | None = None
     async with curio.TaskGroup(wait=None) as group:
         first_task = await group.spawn(_run_first, first, exchange)
@@ -77,12 +77,12 @@
                 raise task.exception
             result = task.result
             if task is first_task:
-                own = result
+                first_result = result
             last = result if last is None else later_result(last, result)
             if last.outcome is AttemptOutcome.RESPONDED:
                 break
         await group.cancel_remaining()
-    return own, last or AttemptResult(AttemptOutcome.EXPIRED)
+    return first_result, last or AttemptResult(AttemptOutcome.EXPIRED)
 
 
 async def _run_first(attempt: Attempt, exchange: Exchange) -> AttemptResult:
--- a/pollenfold/entry/probes.py
+++ b/pollenfold/entry/probes.py
@@ -1,4 +1,4 @@
-"""Probes of the load and health endpoints of backend servers, within the budget."""
+"""Probes the load and health endpoints of backend servers within a budget."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 HEALTH_PATH = b"/healthz"
 
 INTERVAL_MS = 20.0
-"""How often the budgets are asked for probes."""
+"""Interval at which probes are started if the budgets allow them."""
 
 TIMEOUT_MS = 500.0
 
 MAX_IN_FLIGHT = 32
-"""Probes at the same time, so that servers which hang do not collect tasks."""
+"""Limit on concurrent probes, so that hanging servers don't accumulate tasks."""
 
 LOAD_PROBES_PER_HEALTH_PROBE = 4
-"""A good answer of the load endpoint shows health too; the health endpoint is asked
-less often, because it can fail alone before a server drains."""
+"""A successful load probe also shows that the server is healthy. The health endpoint is
+still probed, less often, because it alone can fail before a server drains."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """The result of one probe; ``report`` is None without a valid load report."""
+    """The result of a probe; ``report`` is None without a valid load report."""
 
     endpoint: Endpoint
     is_failure: bool
@@ -59,7 +59,7 @@
 
 
 class CountingSocket:
-    """Counts the bytes of an exchange, and fails when its answer is too long."""
+    """Counts the bytes of an exchange and limits the length of its response."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
@@ -71,23 +71,23 @@
         return int(self._sock.fileno())
 
     async def send(self, data: bytes) -> int:
-        """Send and count; return the number of bytes written."""
+        """Send and count data; return the number of bytes written."""
         n_sent_bytes = int(await self._sock.send(data))
         self.n_bytes += n_sent_bytes
         return n_sent_bytes
 
     async def recv(self, max_bytes: int) -> bytes:
-        """Receive and count; raise OSError for an answer over the limit."""
+        """Receive and count data; raise OSError for a response over the limit."""
         left = MAX_PROBE_BYTES - self.n_received_bytes
         if left <= 0:
-            raise OSError(f"expected an answer of at most {MAX_PROBE_BYTES} bytes")
+            raise OSError(f"probe response exceeds {MAX_PROBE_BYTES} bytes")
         data = bytes(await self._sock.recv(min(max_bytes, left)))
         self.n_bytes += len(data)
         self.n_received_bytes += len(data)
         return data
 
-    def start(self) -> None:
-        """Count anew for the next exchange."""
+    def reset_counts(self) -> None:
+        """Reset the counters for the next exchange."""
         self.n_bytes = 0
         self.n_received_bytes = 0
 
@@ -97,10 +97,11 @@
 
 
 class Prober:
-    """Asks endpoints for their load and health as often as the budgets allow.
+    """Probes the load and health of endpoints as often as the budgets allow.
 
-    ``targets`` gives the services with their endpoints at this time, and
-    ``on_result`` takes each result. Endpoints take turns in a seeded random order.
+    ``targets`` returns the current services with their endpoints; ``on_result`` is
+    called with each result. Every round probes each endpoint of a service once, in a
+    seeded random order.
     """
 
     def __init__(
@@ -114,7 +115,7 @@
         self._on_result = on_result
         self._clock = clock
         self._random = random.Random(seed)
-        self._turns: dict[str, list[Endpoint]] = {}
+        self._probe_orders: dict[str, list[Endpoint]] = {}
         self._connections: dict[str, tuple[CountingSocket, HttpConnection]] = {}
         self._n_probes = 0
         self._n_in_flight = 0
@@ -143,12 +144,12 @@
 
     def _next_endpoint(self, target: ProbeTarget) -> Endpoint:
         current = set(target.endpoints)
-        turns = [e for e in self._turns.get(target.service, []) if e in current]
-        if not turns:
-            turns = list(target.endpoints)
-            self._random.shuffle(turns)
-        endpoint = turns.pop()
-        self._turns[target.service] = turns
+        order = [e for e in self._probe_orders.get(target.service, []) if e in current]
+        if not order:
+            order = list(target.endpoints)
+            self._random.shuffle(order)
+        endpoint = order.pop()
+        self._probe_orders[target.service] = order
         return endpoint
 
     async def _probe(self, budget: MeasurementBudget, endpoint: Endpoint) -> None:
@@ -178,12 +179,12 @@
             async with curio.timeout_after(TIMEOUT_MS / 1000):
                 sock, connection = await self._connect(endpoint)
                 headers = [(b"host", endpoint.name.encode())]
-                answer = await connection.exchange(b"GET", path, headers, b"")
-                response = answer.ok if answer.is_ok() else None
+                exchanged = await connection.exchange(b"GET", path, headers, b"")
+                response = exchanged.ok if exchanged.is_ok() else None
         except (OSError, curio.TaskTimeout):
             response = None
         if sock is not None and connection is not None:
-            await self._keep(endpoint, sock, connection)
+            await self._release_connection(endpoint, sock, connection)
         now = self._clock()
         report = None
         if response is not None and response.status == 200 and not is_health:
@@ -195,14 +196,14 @@
     async def _connect(
         self, endpoint: Endpoint
     ) -> tuple[CountingSocket, HttpConnection]:
-        kept = self._connections.pop(endpoint.name, None)
-        if kept is not None:
-            kept[0].start()
-            return kept
+        idle = self._connections.pop(endpoint.name, None)
+        if idle is not None:
+            idle[0].reset_counts()
+            return idle
         sock = CountingSocket(await open_connection(endpoint.host, endpoint.port))
         return sock, HttpConnection(sock)
 
-    async def _keep(
+    async def _release_connection(
         self, endpoint: Endpoint, sock: CountingSocket, connection: HttpConnection
     ) -> None:
         if connection.reusable and endpoint.name not in self._connections:
--- a/pollenfold/entry/proxy.py
+++ b/pollenfold/entry/proxy.py
@@ -1,4 +1,4 @@
-"""The call path: from a caller's request to its one final response."""
+"""Call path of a request, from its arrival at the entry to its final response."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     later_result,
 )
 from .forwarding import Forwarder, LostError, is_forwarded
-from .hedges import race
+from .hedges import run_hedged_attempt
 from .refusal import Refusal
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
 
 
 Observer = Callable[[ServiceSpec, RequestClass, int, float], None]
-"""Is told the service, class, status and latency in ms of each final response."""
+"""Called with service, class, status and latency in ms of each final response."""
 
 
 def _ignore(
@@ -46,10 +46,10 @@
 
 
 class Proxy:
-    """Serves callers of one entry.
+    """Handles the requests of an entry's callers.
 
-    ``has_lease`` tells whether the configuration lease is valid now; without it no
-    new work is taken. ``actions`` runs non-idempotent requests under a claim.
+    ``has_lease`` returns whether the configuration lease is valid now; without it no
+    new work is accepted. ``actions`` executes non-idempotent requests under a claim.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self._observe = observe
 
     async def handle(self, request: Request) -> Response | None:
-        """Return the final response, or None when the caller went away."""
+        """Return the final response, or None if the caller closed its connection."""
         started_at = self._clock()
         runtime = self._services.find(request.path)
         if not self._has_lease():
@@ -96,10 +96,10 @@
         return response
 
     def _refuse_early(self, request: Request, kind: ErrorKind) -> Response:
-        """Refuse before the ledger was asked.
+        """Refuse a request before a claim is sent to the ledger.
 
-        An earlier send of a caller's key may have run, so only a request without a
-        key is said not to have run.
+        An earlier request with the same key may have run, so ``did_not_run`` is only
+        reported for a request without a key.
         """
         has_key = request.header(IDEMPOTENCY_KEY) is not None
         state = RunState.OUTCOME_UNKNOWN if has_key else None
@@ -142,8 +142,8 @@
         if caller_key is None:
             kind = runtime.slots.refusal(deadline)
             if kind is not None:
-                after_s = runtime.slots.retry_after_s()
-                return Refusal(kind, retry_after_s=after_s).response()
+                retry_after_s = runtime.slots.retry_after_s()
+                return Refusal(kind, retry_after_s=retry_after_s).response()
 
         async def dispatch() -> Response | Refusal:
             return await run_attempts(
@@ -161,7 +161,7 @@
     async def _forward(
         self, runtime: ServiceRuntime, exchange: Exchange, request_class: RequestClass
     ) -> Response | None:
-        """Pass a request on to a warm-up owner; None when none was reached."""
+        """Forward a request to a warm-up owner; return None if none was reached."""
         try:
             return await self._forwarder.forward(
                 exchange, runtime.warmup_owners, request_class
@@ -173,7 +173,7 @@
 
 
 def _must_forward(runtime: ServiceRuntime, request: Request) -> bool:
-    """Return whether only other entries may send to the endpoints now."""
+    """Return whether the request must be forwarded: only other entries may send it."""
     return (
         not runtime.slots.candidates
         and bool(runtime.warmup_owners)
@@ -182,7 +182,7 @@
 
 
 def _timeout_ms(request: Request, spec: ServiceSpec) -> float | None:
-    """Return the time that the request may take, or None for a malformed header."""
+    """Return the timeout of the request, or None for a malformed header."""
     value = request.header(TIMEOUT_HEADER)
     if value is None:
         return spec.timeout_ms
@@ -198,56 +198,63 @@
     has_lease: Callable[[], bool],
     clock: Clock,
 ) -> Response | Refusal:
-    """Send a request to one backend server after another, as far as is allowed.
+    """Send a request, and retry it at other backend servers as far as allowed.
 
-    Return a whole response, or the refusal with whether the request ran.
+    Return a complete response, or a refusal that includes the run state.
     """
     tried: set[str] = set()
     last: AttemptResult | None = None
     runtime.count_call()
     while True:
-        asked_at = clock()
+        acquire_started_at = clock()
         candidate = runtime.slots.try_acquire(tried)
         if candidate is None:
             acquired = await runtime.slots.acquire(tried, exchange.deadline)
             if acquired.is_error():
-                after_s = runtime.slots.retry_after_s()
-                return _final(last, Refusal(acquired.error, retry_after_s=after_s))
+                retry_after_s = runtime.slots.retry_after_s()
+                return _final_result(
+                    last, Refusal(acquired.error, retry_after_s=retry_after_s)
+                )
             candidate = acquired.ok
-        # The request may have waited in the queue while the lease ended or the
-        # process was suspended.
+        # The lease may have expired, or the process been suspended, while the request
+        # waited in the queue.
         if not has_lease():
             await runtime.slots.release(candidate, None)
-            return _final(last, Refusal(ErrorKind.NO_LEASE))
+            return _final_result(last, Refusal(ErrorKind.NO_LEASE))
         if request_class is RequestClass.IDEMPOTENT:
-            if clock() - asked_at >= CANCEL_CHECK_MS and exchange.is_caller_gone():
+            if (
+                clock() - acquire_started_at >= CANCEL_CHECK_MS
+                and exchange.is_caller_gone()
+            ):
                 await runtime.slots.release(candidate, None)
                 raise CallerGone
             attempt = runtime.begin(candidate)
-            result = await race(runtime, attempt, exchange, tried, has_lease)
+            result = await run_hedged_attempt(
+                runtime, attempt, exchange, tried, has_lease
+            )
         else:
             attempt = runtime.begin(candidate)
             result = await _attempt_once(runtime, attempt, exchange)
         last = result if last is None else later_result(last, result)
         if last.outcome is AttemptOutcome.RESPONDED:
-            return _final(last, Refusal(ErrorKind.BACKEND_FAILED))
+            return _final_result(last, Refusal(ErrorKind.BACKEND_FAILED))
         tried.add(candidate.key)
         if not may_retry(result.outcome, request_class):
             break
         if remaining_ms(exchange.deadline, clock()) <= 0.0:
-            return _final(last, Refusal(ErrorKind.DEADLINE_EXCEEDED))
+            return _final_result(last, Refusal(ErrorKind.DEADLINE_EXCEEDED))
         if not runtime.retry_budget.withdraw():
             break
-    return _final(last, Refusal(ErrorKind.BACKEND_REFUSED))
+    return _final_result(last, Refusal(ErrorKind.BACKEND_REFUSED))
 
 
 async def _attempt_once(
     runtime: ServiceRuntime, attempt: Attempt, exchange: Exchange
 ) -> AttemptResult:
-    """Run one attempt to its end; it is never cancelled by the caller's leaving.
+    """Run one attempt to its end, even if the caller disconnects.
 
-    The outcome of a non-idempotent request is worth storing even when its caller
-    is gone, because a resend asks for it.
+    The outcome of a non-idempotent request is stored even then, because the caller may
+    resend the request later to get it.
     """
     result: AttemptResult | None = None
     try:
@@ -261,8 +268,8 @@
     return result
 
 
-def _final(last: AttemptResult | None, refusal: Refusal) -> Response | Refusal:
-    """Return the whole response of the last attempt, or what its failure means."""
+def _final_result(last: AttemptResult | None, refusal: Refusal) -> Response | Refusal:
+    """Return the response of the last attempt, or the refusal for its failure."""
     if last is None:
         return refusal
     if last.outcome in (AttemptOutcome.NOT_STARTED, AttemptOutcome.UNREACHABLE):
--- a/pollenfold/entry/refusal.py
+++ b/pollenfold/entry/refusal.py
@@ -1,4 +1,4 @@
-"""What a caller is told when no whole response of a backend server came."""
+"""Error responses for requests without a complete backend server response."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A final answer without a whole response of a backend server.
+    """The final result of a request without a complete backend server response.
 
-    ``run_state`` and ``retry_after_s`` replace those of the error table where more is
-    known.
+    ``run_state`` and ``retry_after_s`` override the defaults of the error table if the
+    values for this request are known.
     """
 
     kind: ErrorKind
@@ -21,7 +21,7 @@
     retry_after_s: int | None = None
 
     def response(self) -> Response:
-        """Return what the caller is told."""
+        """Return the error response for the caller."""
         state = self.run_state.value if self.run_state else None
         return error_response(
             self.kind, run_state=state, retry_after_s=self.retry_after_s
--- a/pollenfold/entry/route.py
+++ b/pollenfold/entry/route.py
@@ -1,4 +1,4 @@
-"""Finds the control leader, directly or through a peer entry."""
+"""Sends lease requests to the control leader, directly or through a peer entry."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from ..wire.rpc import RpcClient
 
 CALL_TIMEOUT_MS = 300.0
-"""Time for one exchange beyond its wait: far above a round trip, and short enough
-for a pass over control replicas and peers within one lease."""
+"""Timeout of one exchange in addition to its ``wait_ms``: far above a round trip, and
+short enough to try the control replicas and then peers within one lease."""
 
 DIRECT_RETRY_MS = 1000.0
-"""How often an entry that renews through a peer tries the control replicas."""
+"""How often an entry that renews through a peer retries the control replicas."""
 
 N_PEERS = 2
-"""Peers asked at once when no control replica can be reached."""
+"""Number of peers contacted concurrently if no control replica is reachable."""
 
 Address = tuple[str, int]
 
 
 class ControlRoute:
-    """The way from this entry to the control leader.
+    """The route from this entry to the control leader.
 
     ``peers`` returns the peer addresses (host and peer port) of other entries.
     """
@@ -51,24 +51,24 @@
     async def exchange(
         self, request: LeaseRequest, is_direct: bool = False
     ) -> tuple[LeaseResponse, Instant] | None:
-        """Send the request to the leader; return the response and the sending time.
+        """Send the request to the leader; return the response and the time of sending.
 
-        None means that no leader was reached. With ``is_direct`` no peer is asked.
+        None means that no leader was reached. With ``is_direct`` no peer is used.
         """
         current = self._current
         if current is not None and self._may_use_current(is_direct):
-            answer = await self._ask(current, request)
-            if answer is not None and answer[0].error is not ErrorKind.NOT_LEADER:
-                return answer
+            reply = await self._send(current, request)
+            if reply is not None and reply[0].error is not ErrorKind.NOT_LEADER:
+                return reply
         async with self._search_lock:
-            found = self._current
-            if found in (None, current) or not self._may_use_current(is_direct):
+            latest = self._current
+            if latest in (None, current) or not self._may_use_current(is_direct):
                 if self._must_wait(is_direct):
                     return None
                 self._current = None
                 return await self._search(replace(request, wait_ms=0.0), is_direct)
-        # Another exchange found the leader during this one.
-        return await self._ask(found, request)
+        # A concurrent exchange has found the leader meanwhile.
+        return await self._send(latest, request)
 
     async def close(self) -> None:
         """Close all connections."""
@@ -81,15 +81,15 @@
         return not is_direct and self._clock() < self._next_direct
 
     def _must_wait(self, is_direct: bool) -> bool:
-        """Return whether the control replicas were tried just now, in vain."""
+        """Return whether the control replicas were recently tried without success."""
         return is_direct and not self._is_direct and self._clock() < self._next_direct
 
-    async def _ask(
+    async def _send(
         self, address: Address, request: LeaseRequest
     ) -> tuple[LeaseResponse, Instant] | None:
-        """Send the request to one address; None when no response came.
+        """Send the request to one address; return None if no response arrives.
 
-        A peer that reaches no leader counts as no response.
+        A peer that can't reach a leader counts as no response.
         """
         client = self._clients.get(address)
         if client is None:
@@ -98,7 +98,7 @@
         timeout_ms = request.wait_ms + CALL_TIMEOUT_MS
         result = await client.call(Protocol.LEASE, encode_request(request), timeout_ms)
         if result.is_error():
-            # The connection may hang in a partition that has ended meanwhile.
+            # The connection may be stuck after a network partition that has ended.
             if self._clients.get(address) is client:
                 del self._clients[address]
             await client.close()
@@ -112,38 +112,38 @@
         self, request: LeaseRequest, is_direct: bool
     ) -> tuple[LeaseResponse, Instant] | None:
         self._n_searches += 1
-        answer = await self._ask_all(self._control, request, True)
-        if answer is None and not is_direct:
-            answer = await self._ask_all(self._choose_peers(), request, False)
+        reply = await self._send_to_all(self._control, request, True)
+        if reply is None and not is_direct:
+            reply = await self._send_to_all(self._choose_peers(), request, False)
         self._next_direct = add_ms(self._clock(), DIRECT_RETRY_MS)
-        return answer
+        return reply
 
-    async def _ask_all(
+    async def _send_to_all(
         self, addresses: list[Address], request: LeaseRequest, is_direct: bool
     ) -> tuple[LeaseResponse, Instant] | None:
-        """Ask the addresses at the same time; the first that leads is used on."""
-        asked = set(addresses)
+        """Query the addresses concurrently; keep the first that finds the leader."""
+        contacted = set(addresses)
         async with curio.TaskGroup(wait=None) as group:
             for address in addresses:
-                await group.spawn(self._ask_from, address, request)
+                await group.spawn(self._send_with_address, address, request)
             async for task in group:
-                address, answer = task.result
-                if answer is None:
+                address, reply = task.result
+                if reply is None:
                     continue
-                response = answer[0]
+                response = reply[0]
                 if response.error is not ErrorKind.NOT_LEADER:
                     self._current = address
                     self._is_direct = is_direct
-                    return answer
-                if is_direct and response.leader not in {None, *asked}:
-                    asked.add(response.leader)
-                    await group.spawn(self._ask_from, response.leader, request)
+                    return reply
+                if is_direct and response.leader not in {None, *contacted}:
+                    contacted.add(response.leader)
+                    await group.spawn(self._send_with_address, response.leader, request)
         return None
 
-    async def _ask_from(
+    async def _send_with_address(
         self, address: Address, request: LeaseRequest
     ) -> tuple[Address, tuple[LeaseResponse, Instant] | None]:
-        return address, await self._ask(address, request)
+        return address, await self._send(address, request)
 
     def _choose_peers(self) -> list[Address]:
         peers = sorted(set(self._peers()))
--- a/pollenfold/entry/slots.py
+++ b/pollenfold/entry/slots.py
@@ -15,7 +15,7 @@
 
 
 class _Waiter:
-    """A request that waits; ``candidate`` is set when a slot was handed to it."""
+    """A queued request; ``candidate`` is set once a slot is assigned to it."""
 
     __slots__ = ("tried", "event", "candidate", "error")
 
@@ -27,10 +27,10 @@
 
 
 class SlotQueue:
-    """Hands out slots at candidates in the order of arrival.
+    """Assigns slots at candidates to requests in order of arrival.
 
-    ``candidates`` is replaced by ``update``; the objects keep their counts, so a
-    request in flight at an endpoint that left still gives its slot back.
+    ``update`` replaces ``candidates``; the objects keep their counts, so a request in
+    flight at an endpoint that was removed still releases its slot.
     """
 
     def __init__(
@@ -53,30 +53,31 @@
 
     @property
     def candidates(self) -> tuple[Candidate, ...]:
-        """The endpoints that may take new work."""
+        """The endpoints that may receive new work."""
         return self._candidates
 
     def n_slots(self) -> int:
-        """Return the concurrency that this entry may have over all endpoints."""
+        """Return this entry's concurrency limit over all endpoints."""
         return sum(candidate.limit for candidate in self._candidates)
 
     async def update(self, candidates: tuple[Candidate, ...]) -> None:
-        """Replace the endpoints that may take new work, and serve the queue."""
+        """Replace the endpoints that may receive new work, and serve the queue."""
         self._candidates = candidates
         await self._serve_queue()
 
     async def acquire(
         self, tried: set[str], deadline: Instant
     ) -> Result[Candidate, ErrorKind]:
-        """Take a slot at an endpoint that is not in ``tried``.
+        """Acquire a slot at an endpoint that is not in ``tried``.
 
-        Wait in the queue when no endpoint has room. Give ``NO_BACKEND_SERVER``,
-        ``QUEUE_FULL`` or ``DEADLINE_EXCEEDED`` at once when waiting can't help.
+        Wait in the queue if no endpoint has spare capacity. Return
+        ``NO_BACKEND_SERVER``, ``QUEUE_FULL`` or ``DEADLINE_EXCEEDED`` immediately if
+        waiting would be useless.
         """
         if not self._waiters:
             candidate = self._choose(tried)
             if candidate is not None:
-                self._take(candidate)
+                self._occupy(candidate)
                 return Ok(candidate)
         if all(c.key in tried for c in self._candidates):
             return Error(ErrorKind.NO_BACKEND_SERVER)
@@ -86,7 +87,7 @@
         return await self._wait(tried, deadline)
 
     def refusal(self, deadline: Instant) -> ErrorKind | None:
-        """Return why a request would be refused now, or None when it may come."""
+        """Return why a request would be refused now, or None if admitted."""
         if not self._candidates:
             return ErrorKind.NO_BACKEND_SERVER
         if not self._waiters and any(c.has_room for c in self._candidates):
@@ -95,25 +96,25 @@
         return admitted.error if admitted.is_error() else None
 
     def retry_after_s(self) -> int:
-        """Return when a refused caller should come back, in whole seconds."""
+        """Return after how many whole seconds a refused caller should retry."""
         return retry_after_s(self.n_waiting, self.n_slots(), self.mean_service_ms)
 
     def try_acquire(self, tried: set[str]) -> Candidate | None:
-        """Take a slot if there is one now, else return None."""
+        """Acquire a slot if one is free now, else return None."""
         if self._waiters:
             return None
         candidate = self._choose(tried)
         if candidate is not None:
-            self._take(candidate)
+            self._occupy(candidate)
         return candidate
 
     async def release(self, candidate: Candidate, latency_ms: float | None) -> None:
-        """Give a slot back; ``latency_ms`` is that of a whole response, if any."""
+        """Release a slot; ``latency_ms`` is None if there is no latency to record."""
         candidate.n_in_flight -= 1
         self.n_in_flight -= 1
         if latency_ms is not None:
             observe_latency(candidate, latency_ms, self._clock())
-            # Started at the first latency: a mean that rises slowly from 0 would
+            # The mean starts at the first latency: one that rises slowly from 0 would
             # admit requests whose deadline can't be met.
             change_ms = latency_ms - self.mean_service_ms
             self.mean_service_ms += (0.05 if self.mean_service_ms else 1.0) * change_ms
@@ -121,7 +122,7 @@
             await self._serve_queue()
 
     async def refuse_all(self, kind: ErrorKind) -> None:
-        """Answer every request in the queue, for example when the lease ended."""
+        """Refuse every queued request, for example after the lease has expired."""
         while self._waiters:
             waiter = self._waiters.popleft()
             waiter.error = kind
@@ -138,15 +139,15 @@
         )
 
     def _choose(self, tried: set[str]) -> Candidate | None:
-        open_candidates = [c for c in self._candidates if c.n_in_flight < c.limit]
+        available = [c for c in self._candidates if c.n_in_flight < c.limit]
         if tried:
-            open_candidates = [c for c in open_candidates if c.key not in tried]
-        if not open_candidates:
+            available = [c for c in available if c.key not in tried]
+        if not available:
             return None
-        preferred = prefer_zone(open_candidates, self._zone)
+        preferred = prefer_zone(available, self._zone)
         return self._policy(preferred, self._rng, self._clock())
 
-    def _take(self, candidate: Candidate) -> None:
+    def _occupy(self, candidate: Candidate) -> None:
         candidate.n_in_flight += 1
         self.n_in_flight += 1
 
@@ -160,7 +161,7 @@
             async with curio.ignore_after(left_ms / 1000):
                 await waiter.event.wait()
         except curio.CancelledError:
-            await self._leave(waiter)
+            await self._cancel_wait(waiter)
             raise
         if waiter.candidate is not None:
             return Ok(waiter.candidate)
@@ -169,18 +170,18 @@
         self._waiters.remove(waiter)
         return Error(ErrorKind.DEADLINE_EXCEEDED)
 
-    async def _leave(self, waiter: _Waiter) -> None:
+    async def _cancel_wait(self, waiter: _Waiter) -> None:
         if waiter.candidate is not None:
             await self.release(waiter.candidate, None)
         elif waiter.error is None:
             self._waiters.remove(waiter)
 
     async def _serve_queue(self) -> None:
-        """Hand free slots to waiting requests, first come, first served."""
+        """Assign free slots to waiting requests in order of arrival."""
         for waiter in list(self._waiters):
             candidate = self._choose(waiter.tried)
             if candidate is not None:
-                self._take(candidate)
+                self._occupy(candidate)
                 waiter.candidate = candidate
             elif all(c.key in waiter.tried for c in self._candidates):
                 waiter.error = ErrorKind.NO_BACKEND_SERVER
--- a/pollenfold/tests/entry/test_hedge_lease.py
+++ b/pollenfold/tests/entry/test_hedge_lease.py
@@ -1,14 +1,14 @@
-"""No hedge starts without a lease."""
+"""Hedged attempts require a valid lease."""
 
 import pytest
 
 from pollenfold.core.outcomes import AttemptOutcome
 from pollenfold.entry.attempts import AttemptResult
-from pollenfold.entry.hedges import race
+from pollenfold.entry.hedges import run_hedged_attempt
 
 
 class SlowAttempt:
-    """An attempt that has no response when the hedge is due."""
+    """An attempt that has no response at the end of the hedge delay."""
 
     started_at = 0.0
 
@@ -26,7 +26,7 @@
 
 
 class Runtime:
-    """Counts the hedges that were asked for."""
+    """Counts the requested hedges."""
 
     n_hedges = 0
     deadline = 1000.0
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize(("has_lease", "n_hedges"), [(True, 1), (False, 0)])
 def test_no_hedge_without_a_lease(run, has_lease, n_hedges):
-    """Guards against a hedge by an entry that was suspended during the first wait."""
+    """Guards against a hedge by an entry that was suspended beyond its lease."""
     runtime = Runtime()
-    run(race, runtime, SlowAttempt(), runtime, set(), lambda: has_lease)
+    run(run_hedged_attempt, runtime, SlowAttempt(), runtime, set(), lambda: has_lease)
     assert runtime.n_hedges == n_hedges
