--- a/pollenfold/tests/entry/test_actions.py
+++ b/pollenfold/tests/entry/test_actions.py
@@ -1,4 +1,4 @@
-"""Non-idempotent requests run at most once, and a refusal says so truly."""
+"""Non-idempotent requests are executed at most once, with a correct run state."""
 
 import curio
 import pytest
@@ -13,10 +13,10 @@
 
 @pytest.mark.parametrize("service_ms", [40, 400])
 @pytest.mark.parametrize("n_entries", [1, 2])
-def test_key_sent_twice_at_once_runs_once(call_path, n_entries, service_ms):
-    """Guards against two runs when a caller resends before the first answer, through
-    the same entry or another one. The longer service time is above the wait for
-    the outcome."""
+def test_key_sent_twice_concurrently_is_executed_once(call_path, n_entries, service_ms):
+    """Guards against two executions when a caller resends before the first response,
+    through the same entry or another one. The longer service time exceeds the wait
+    for the outcome."""
 
     async def main(path):
         await path.add_server(service_ms=service_ms)
@@ -38,8 +38,8 @@
     call_path(main)
 
 
-def test_resend_through_another_entry_gets_the_first_answer(call_path):
-    """Guards against a second run when a caller reconnects to another entry."""
+def test_resend_through_another_entry_gets_the_first_response(call_path):
+    """Guards against a second execution when a caller reconnects to another entry."""
 
     async def main(path):
         await path.add_server()
@@ -102,8 +102,8 @@
     call_path(main)
 
 
-def test_key_resent_after_a_lost_ledger_runs_at_most_once(call_path):
-    """Guards against a second run when the ledger loses and regains its majority."""
+def test_key_resent_after_ledger_loss_is_executed_at_most_once(call_path):
+    """Guards against a second execution when the ledger regains a lost majority."""
 
     async def main(path):
         await path.add_server()
@@ -121,8 +121,8 @@
     call_path(main)
 
 
-def test_ledger_loss_leaves_idempotent_requests_alone(call_path):
-    """Guards against an outage of lookups when only the ledger is lost."""
+def test_ledger_loss_does_not_affect_idempotent_requests(call_path):
+    """Guards against failed idempotent requests when only the ledger is unavailable."""
 
     async def main(path):
         await path.add_server()
@@ -134,8 +134,8 @@
     call_path(main)
 
 
-def test_answer_too_long_to_store_is_not_run_again(call_path):
-    """Guards against a second run because the outcome doesn't fit the ledger."""
+def test_response_too_long_to_store_is_not_executed_again(call_path):
+    """Guards against a second execution if the outcome is too long for the ledger."""
 
     async def main(path):
         await path.add_server(answer_bytes=100_000)
@@ -150,8 +150,8 @@
     call_path(main)
 
 
-def test_claim_without_outcome_is_never_run_again(call_path):
-    """Guards against a run after the backend server died under the first one."""
+def test_claim_without_outcome_is_never_executed_again(call_path):
+    """Guards against a second execution after the server closed during the first."""
 
     async def main(path):
         server = await path.add_server({"kind": "close_after_run"})
@@ -165,16 +165,16 @@
             assert again.run_state == "outcome_unknown"
             states.add(again.error)
             path.ledger.wall_clock.advance(200)
-        # In progress while the claim is younger than the service timeout.
+        # Reported as in progress while the claim is younger than the service timeout.
         assert states == {"in_progress", "outcome_unknown"}
         assert path.n_runs == 1
 
     call_path(main, timeout_ms=500.0)
 
 
-def test_statements_of_a_backend_server_about_the_run_are_not_relayed(call_path):
-    """Guards against ``did_not_run`` from a request that the backend server made
-    itself, for a request that ran."""
+def test_run_state_headers_of_a_backend_server_are_not_relayed(call_path):
+    """Guards against ``did_not_run`` for a request that ran: the backend server may
+    relay the run state of a request that it made itself."""
 
     async def main(path):
         async def serve(client, address):
--- a/pollenfold/tests/entry/test_call_path.py
+++ b/pollenfold/tests/entry/test_call_path.py
@@ -1,4 +1,4 @@
-"""Steps of features/call_path.feature: one request against one fault."""
+"""Steps of features/call_path.feature: one request against one fault or refusal."""
 
 from pathlib import Path
 from types import SimpleNamespace
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def plan():
-    """What the steps set up, and what was seen."""
+    """The setup of a scenario and its observed results."""
     return SimpleNamespace(
         n_servers=0, fault="none", script=None, cause=None, n_closed=0, resend=None
     )
@@ -59,20 +59,23 @@
         fields = {"slots_per_endpoint": 1}
         if plan.cause == "queue full":
             fields["queue_limit"] = 0
-        call_path(lambda path: refuse(path, plan, method, key), **fields)
+        call_path(lambda path: send_refused_request(path, plan, method, key), **fields)
     else:
-        call_path(lambda path: meet(path, plan, method, key), timeout_ms=TIMEOUT_MS)
+        call_path(
+            lambda path: send_to_faulty_server(path, plan, method, key),
+            timeout_ms=TIMEOUT_MS,
+        )
 
 
-async def meet(path, plan, method, key):
-    """Send one request to servers with a fault, then see what it left behind."""
+async def send_to_faulty_server(path, plan, method, key):
+    """Send one request to servers with a fault and record its effects."""
     await start_servers(path, plan)
     entry = await path.add_entry()
     plan.reply = await entry.send(method, "/market/a", key, x_request_id="r1")
     path.check_did_not_run(plan.reply)
     plan.n_runs = path.n_runs
     plan.n_idle = sum(b.pool.n_open for b in entry.runtime.backends.values())
-    plan.whole = check_answer(plan.reply.body, "r1", key or "")
+    plan.body_error = check_answer(plan.reply.body, "r1", key or "")
     if key:
         plan.resend = await entry.send(method, "/market/a", key, x_request_id="r2")
         plan.n_runs_resend = path.n_runs
@@ -99,29 +102,29 @@
 
 
 async def send_later(path, plan, entry):
-    """Send five requests after the fault has gone; return what is wrong with each."""
+    """Send five requests after the fault has been removed; return their errors."""
     if not path.servers:
         await path.add_server()
         await entry.sync()
     for server in path.servers:
         await set_faults(server)
-    wrong = []
+    errors = []
     caller = entry.caller()
     for n in range(5):
         reply = await caller.send("GET", "/market/a", x_request_id=f"later-{n}")
-        wrong.append(check_answer(reply.body, f"later-{n}"))
+        errors.append(check_answer(reply.body, f"later-{n}"))
     await caller.close()
-    return wrong
+    return errors
 
 
-async def refuse(path, plan, method, key):
-    """Bring the cause of a refusal about and send one request."""
+async def send_refused_request(path, plan, method, key):
+    """Cause a refusal and send one request."""
     server = await path.add_server(SLOW)
     entry = await path.add_entry()
     options = {"x_request_id": "r1", "path": "/market/a"}
-    busy = await occupy(plan.cause, entry, server)
+    busy = await fill_slot(plan.cause, entry, server)
     n_runs = path.n_runs
-    options |= await prepare(plan.cause, path, entry)
+    options |= await apply_cause(plan.cause, path, entry)
     options.setdefault("key", key)
     sending = await curio.spawn(lambda: entry.send(method, **options))
     if plan.cause == "lease lost while queued":
@@ -134,8 +137,8 @@
         assert (await busy.join()).status == 200
 
 
-async def occupy(cause, entry, server):
-    """Fill the only slot of the server for the causes that need it."""
+async def fill_slot(cause, entry, server):
+    """Occupy the only slot of the server for the causes that need it."""
     if cause not in ("queue full", "deadline too short", "lease lost while queued"):
         return None
     if cause == "deadline too short":
@@ -145,8 +148,8 @@
     return busy
 
 
-async def prepare(cause, path, entry):
-    """Bring a cause about; return the options that the request needs."""
+async def apply_cause(cause, path, entry):
+    """Apply a cause; return the options that the request needs."""
     if cause == "no lease":
         entry.is_leased = False
     elif cause == "no endpoints":
@@ -170,12 +173,12 @@
 @then(
     parsers.re(r'the answer is (?P<status>\d+), "(?P<error>\w*)", "(?P<run_state>\w*)"')
 )
-def answer_is(plan, status, error, run_state):
+def response_is(plan, status, error, run_state):
     reply = plan.reply
     assert (reply.status, reply.error) == (int(status), error or None)
     assert reply.run_state == (run_state or None)
     if reply.status == 200:
-        assert plan.whole is None
+        assert plan.body_error is None
 
 
 @then(parsers.parse("the servers ran it {n_runs:d} times"))
@@ -197,7 +200,7 @@
 
 
 @then("five later callers get their own whole answers")
-def later_answers(plan):
+def later_responses(plan):
     assert plan.later == [None] * 5
 
 
@@ -212,5 +215,5 @@
 
 
 @then(parsers.parse("the answer came within {limit_ms:d} ms"))
-def came_at_once(plan, limit_ms):
+def responded_within(plan, limit_ms):
     assert plan.reply.took_ms < limit_ms
--- a/pollenfold/tests/entry/test_claims_in_flight.py
+++ b/pollenfold/tests/entry/test_claims_in_flight.py
@@ -1,4 +1,4 @@
-"""Claims to the ledger that are in flight at one entry."""
+"""Limit on the claims to the ledger in flight at one entry."""
 
 import curio
 import pytest
@@ -23,11 +23,11 @@
         return Claimed()
 
     async def complete(self, key, claim_id, outcome):
-        raise AssertionError("outcomes are stored elsewhere")
+        raise AssertionError("unexpected call: no claim is released in this test")
 
 
 class Spec:
-    """The part of a service's record that a claim needs."""
+    """The fields of a service's record that a claim needs."""
 
     name = "s"
     timeout_ms = 60_000
@@ -41,7 +41,7 @@
     ("is_callers_key", "state"), [(True, b"outcome_unknown"), (False, b"did_not_run")]
 )
 def test_claims_beyond_the_limit_are_refused_at_once(run, is_callers_key, state):
-    """Guards against a ledger that falls behind and is sent ever more claims."""
+    """Guards against an unbounded number of claims to an overloaded ledger."""
 
     async def main():
         ledger = SlowLedger()
--- a/pollenfold/tests/entry/test_forwarding.py
+++ b/pollenfold/tests/entry/test_forwarding.py
@@ -23,8 +23,8 @@
 
 @pytest.mark.parametrize("method, key", [("GET", None), ("POST", "k1"), ("POST", None)])
 def test_request_reaches_the_owner_with_its_key(call_path, method, key):
-    """Guards against an outage of a cold service for the callers of other entries,
-    and against a key that is lost on the way."""
+    """Guards against an outage of a cold service for callers of other entries, and
+    against an idempotency key that is dropped when the request is forwarded."""
 
     async def main(path):
         other, owner, server = await start_cold(path)
@@ -50,7 +50,7 @@
     ],
 )
 def test_forwarded_request_is_not_forwarded_again(call_path, method, key, run_state):
-    """Guards against a request that circles while the entries disagree on the owner."""
+    """Guards against a forwarding loop while entries disagree on the owner."""
 
     async def main(path):
         other, owner, server = await start_cold(path)
@@ -63,7 +63,7 @@
 
 
 async def replace_owner(path, other, owner, port):
-    """Let the directory name another caller port for the owner."""
+    """Change the owner's caller port in the directory."""
     live = tuple(
         replace(entry, caller_port=port) if entry.entry_id == owner.entry_id else entry
         for entry in other.directory.entries
@@ -79,8 +79,8 @@
         ("POST", "k1", "outcome_unknown"),
     ],
 )
-def test_owner_that_is_not_reached(call_path, method, key, run_state):
-    """Guards against a wrong run state when the owner was restarted just now."""
+def test_request_for_an_unreachable_owner(call_path, method, key, run_state):
+    """Guards against a wrong run state when the owner has just restarted."""
 
     async def main(path):
         other, owner, server = await start_cold(path)
@@ -94,8 +94,8 @@
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
 def test_request_lost_at_the_owner_may_have_run(call_path, method):
-    """Guards against ``did_not_run``, or a second send of an action, when the owner
-    broke the connection."""
+    """Guards against ``did_not_run``, or a retry of a non-idempotent request, when the
+    owner closes the connection without a response."""
 
     async def main(path):
         n_received = 0
--- a/pollenfold/tests/entry/test_hedges.py
+++ b/pollenfold/tests/entry/test_hedges.py
@@ -1,4 +1,4 @@
-"""Hedges and retries: within their budgets, and only where nothing runs twice."""
+"""Hedges and retries stay within budget and never duplicate actions."""
 
 import curio
 import pytest
@@ -9,9 +9,9 @@
 from pollenfold.tests.entry.conftest import until
 
 
-def test_answer_of_a_losing_hedge_reaches_nobody(call_path):
-    """Guards against the response of a cancelled attempt on a connection that is
-    used again."""
+def test_response_of_a_losing_attempt_is_discarded(call_path):
+    """Guards against a reused connection that delivers the late response of a
+    cancelled attempt."""
 
     async def main(path):
         slow = {"kind": "late_answer", "delay_ms": 400, "n_requests": 1}
@@ -34,9 +34,9 @@
 
 
 @pytest.mark.parametrize("fault", ["close_after_run", "truncated_answer", "fail_fast"])
-def test_attempt_that_never_started_takes_nothing_back(call_path, fault):
-    """Guards against ``did_not_run`` for a request that ran at the first server and
-    was refused by the second."""
+def test_unstarted_attempt_does_not_override_an_earlier_one(call_path, fault):
+    """Guards against ``did_not_run`` for a request that may have run at the first
+    server and was refused by the second."""
 
     async def main(path):
         await path.add_server({"kind": fault})
@@ -50,7 +50,7 @@
 
 
 def test_hedges_stay_within_their_budget(call_path):
-    """Guards against hedges that multiply the load of a service that slows down."""
+    """Guards against hedges that multiply the load of a slow service."""
 
     async def main(path):
         first = await path.add_server(service_ms=240)
@@ -64,7 +64,7 @@
         async with curio.TaskGroup() as group:
             for _ in range(4):
                 await group.spawn(call)
-        # Two permits at the start and a twentieth for each of the 40 calls.
+        # Two initial permits and a twentieth of a permit for each of the 40 calls.
         assert 1 <= second.counts.n_received <= 2 + 0.05 * 40
         assert first.counts.n_received == 40
 
@@ -72,7 +72,7 @@
 
 
 def test_only_idempotent_requests_are_hedged(call_path):
-    """Guards against a hedge that runs an action twice."""
+    """Guards against a hedge that executes a non-idempotent request twice."""
 
     async def main(path):
         await path.add_server(service_ms=200)
@@ -87,7 +87,7 @@
 
 
 def test_no_hedge_without_a_lease(call_path):
-    """Guards against new work at a zone that was taken out while the lease ended."""
+    """Guards against new work in a zone that was removed after the lease expired."""
 
     async def main(path):
         first = await path.add_server(service_ms=200)
@@ -113,10 +113,10 @@
         entry = await path.add_entry()
         replies = [await entry.send("GET") for _ in range(100)]
         n_received = sum(server.counts.n_received for server in path.servers)
-        # Ten permits at the start and a tenth for each of the 100 calls.
+        # Ten initial permits and a tenth of a permit for each of the 100 calls.
         assert n_received <= 100 + 10 + 0.1 * 100
-        n_good = sum(reply.status == 200 for reply in replies)
-        assert n_good == (n_received - 100 if n_failing == 1 else 0)
+        n_succeeded = sum(reply.status == 200 for reply in replies)
+        assert n_succeeded == (n_received - 100 if n_failing == 1 else 0)
         if n_failing == 2:
             assert path.n_runs == 0
 
@@ -124,8 +124,8 @@
 
 
 @pytest.mark.parametrize("key", [None, "k1"])
-def test_all_servers_that_refuse_are_asked_once(call_path, key):
-    """Guards against a false ``did_not_run``, and a loop over servers that shed."""
+def test_each_refusing_server_is_tried_once(call_path, key):
+    """Guards against a wrong run state, and repeated attempts at servers that shed."""
 
     async def main(path):
         for zone in "ab":
--- a/pollenfold/tests/entry/test_probes.py
+++ b/pollenfold/tests/entry/test_probes.py
@@ -1,4 +1,4 @@
-"""Probes of backend servers: budget, reports and servers that mislead."""
+"""Probes of backend servers: budget, load reports and invalid responses."""
 
 import curio
 import pytest
@@ -12,7 +12,7 @@
 from pollenfold.testing.endpoints import make_endpoint, make_service
 
 
-async def finish(prober):
+async def run_probes(prober):
     await prober.probe_once()
     async with curio.timeout_after(5):
         while prober._n_in_flight:
@@ -37,7 +37,7 @@
     prober = Prober(lambda: [target], results.append, clock, 1)
     for _ in range(20):
         clock.advance(250)
-        await finish(prober)
+        await run_probes(prober)
     await server.stop()
     return results, paths
 
@@ -52,8 +52,8 @@
     ],
 )
 def test_probes_of_a_server(run, body, status, is_failure, expected):
-    """Guards against probes beyond the agreed rate or bytes that are not counted,
-    and against a bad answer that stops the prober or is read without end."""
+    """Guards against probes above the configured rate, uncounted bytes, and invalid
+    responses that stop the prober or are read without a limit."""
 
     async def main():
         results, paths = await probe(body, status)
@@ -68,13 +68,13 @@
     run(main)
 
 
-def test_unreachable_and_silent_servers_are_failures(run):
-    """Guards against a probe of a silent server that never ends."""
+def test_unreachable_and_unresponsive_servers_are_failures(run):
+    """Guards against a probe of an unresponsive server that never ends."""
 
     async def main():
-        silent = curio.tcp_server_socket("127.0.0.1", 0)
+        unresponsive = curio.tcp_server_socket("127.0.0.1", 0)
         refused = curio.tcp_server_socket("127.0.0.1", 0)
-        ports = [sock.getsockname()[1] for sock in (silent, refused)]
+        ports = [sock.getsockname()[1] for sock in (unresponsive, refused)]
         await refused.close()
         spec = make_service(probes_per_s=1000.0, probe_bytes_per_s=1e9)
         budget = MeasurementBudget(spec, 1, system_clock())
@@ -83,9 +83,9 @@
         results = []
         prober = Prober(lambda: [target], results.append, system_clock, 1)
         await curio.sleep(0.005)
-        await finish(prober)
+        await run_probes(prober)
         assert {result.endpoint.port for result in results} == set(ports)
         assert all(result.is_failure for result in results)
-        await silent.close()
+        await unresponsive.close()
 
     run(main)
--- a/pollenfold/tests/entry/test_proxy.py
+++ b/pollenfold/tests/entry/test_proxy.py
@@ -9,18 +9,19 @@
 from pollenfold.tests.entry.conftest import set_faults, until
 
 
-def answer(body, *headers):
-    """Return a whole response as bytes."""
+def response_bytes(body, *headers):
+    """Return the bytes of a complete response."""
     head = [b"HTTP/1.1 200 OK", b"Content-Length: %d" % len(body), *headers]
     return b"\r\n".join(head) + b"\r\n\r\n" + body
 
 
-def test_many_callers_get_their_own_answers(call_path):
-    """Guards against answers that reach another caller when they are late, doubled,
-    cut off or out of order, and against a false ``did_not_run``."""
+def test_many_callers_get_their_own_responses(call_path):
+    """Guards against responses that reach the wrong caller when they are late,
+    duplicated, truncated or out of order, and against a wrong ``did_not_run``."""
 
     async def main(path):
-        # The replicas sync in the loop of the test; the load is not on the ledger.
+        # The ledger replicas sync to disk in the event loop of the test, which delays
+        # claims; the ledger isn't what this test puts under load.
         path.ledger_timeout_ms = 3000.0
         for zone in "aab":
             await path.add_server(
@@ -35,10 +36,10 @@
                 jitter_sigma=0.5,
             )
         entry = await path.add_entry()
-        n_whole = 0
+        n_complete = 0
 
         async def call(number):
-            nonlocal n_whole
+            nonlocal n_complete
             caller = entry.caller()
             rng = random.Random(number)
             for n in range(12):
@@ -51,9 +52,9 @@
                     x_request_id=request_id,
                 )
                 if reply.status == 200:
-                    n_whole += 1
-                    wrong = check_answer(reply.body, request_id, key or "")
-                    assert wrong is None, wrong
+                    n_complete += 1
+                    error = check_answer(reply.body, request_id, key or "")
+                    assert error is None, error
                 else:
                     assert reply.error, reply
                 if key and reply.run_state == "did_not_run":
@@ -64,8 +65,8 @@
         async with curio.TaskGroup() as group:
             for number in range(30):
                 await group.spawn(call, number)
-        # About one request in ten is POST and lost; the other faults are retried.
-        assert n_whole >= 30 * 12 * 0.75
+        # About one request in ten is a lost POST; the other faults are retried.
+        assert n_complete >= 30 * 12 * 0.75
 
     call_path(main, timeout_ms=10_000.0, retry_ratio=1.0)
 
@@ -75,9 +76,9 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
-def test_second_copy_of_a_response_reaches_nobody(call_path, method):
-    """Guards against a duplicate that arrives while the next request waits on the
-    same connection."""
+def test_duplicate_response_is_discarded(call_path, method):
+    """Guards against a duplicate that is taken for the response to the next request on
+    the same connection."""
 
     async def main(path):
         await path.add_server(
@@ -97,13 +98,13 @@
 
 
 def test_connection_closed_while_idle_is_not_used(call_path):
-    """Guards against ``outcome_unknown`` for a request that met a connection which
-    the server had closed before."""
+    """Guards against ``outcome_unknown`` for a request on a pooled connection that the
+    server has already closed."""
 
     async def main(path):
         async def serve(client, address):
             await client.recv(10_000)
-            await client.sendall(answer(b"whole"))
+            await client.sendall(response_bytes(b"whole"))
 
         await path.add_scripted(serve)
         entry = await path.add_entry()
@@ -115,30 +116,30 @@
     call_path(main)
 
 
-def test_remaining_time_is_passed_on(call_path):
-    """Guards against a backend server that works on past the caller's deadline."""
+def test_remaining_time_is_forwarded(call_path):
+    """Guards against a backend server that works past the caller's deadline."""
 
     async def main(path):
-        seen = []
+        received = []
 
         async def serve(client, address):
             while data := await client.recv(10_000):
-                seen.append(data.lower())
-                await client.sendall(answer(b"ok"))
+                received.append(data.lower())
+                await client.sendall(response_bytes(b"ok"))
 
         await path.add_scripted(serve)
         entry = await path.add_entry()
         for given, limit_ms in (("500", 500), ("900000", 2000), (None, 2000)):
             headers = {} if given is None else {"pollenfold_timeout_ms": given}
             assert (await entry.send(**headers)).status == 200
-            passed_on = seen[-1].split(b"pollenfold-timeout-ms: ")
-            assert len(passed_on) == 2
-            assert 0 < int(passed_on[1].split(b"\r\n")[0]) < limit_ms
+            forwarded = received[-1].split(b"pollenfold-timeout-ms: ")
+            assert len(forwarded) == 2
+            assert 0 < int(forwarded[1].split(b"\r\n")[0]) < limit_ms
 
     call_path(main)
 
 
-async def leave(entry, method, after, **options):
+async def send_and_disconnect(entry, method, after, **options):
     """Send a request and close the connection when ``after()`` holds."""
     caller = entry.caller()
     task = await curio.spawn(lambda: caller.send(method, **options))
@@ -148,12 +149,12 @@
 
 
 def test_idempotent_request_ends_with_its_caller(call_path):
-    """Guards against work that goes on although nobody waits for it."""
+    """Guards against work that continues after its caller disconnected."""
 
     async def main(path):
         server = await path.add_server(service_ms=1500)
         entry = await path.add_entry()
-        await leave(entry, "GET", lambda: server.n_in_flight)
+        await send_and_disconnect(entry, "GET", lambda: server.n_in_flight)
         await until(lambda: server.counts.n_stopped_by_caller, timeout_s=1)
         assert server.counts.n_completed == 0
         assert entry.runtime.slots.n_in_flight == 0
@@ -162,14 +163,14 @@
 
 
 def test_request_whose_caller_left_the_queue_is_not_sent(call_path):
-    """Guards against work for a caller that went away while it was queued."""
+    """Guards against work for a caller that disconnected while queued."""
 
     async def main(path):
         server = await path.add_server({"kind": "slow", "delay_ms": 200})
         entry = await path.add_entry()
         busy = await curio.spawn(entry.send)
         await until(lambda: server.n_in_flight)
-        await leave(entry, "GET", lambda: entry.runtime.slots.n_waiting)
+        await send_and_disconnect(entry, "GET", lambda: entry.runtime.slots.n_waiting)
         assert (await busy.join()).status == 200
         await until(lambda: entry.runtime.slots.n_in_flight == 0)
         assert server.counts.n_received == 1
@@ -178,12 +179,12 @@
 
 
 def test_non_idempotent_request_outlives_its_caller(call_path):
-    """Guards against a lost outcome: the caller resends its key later."""
+    """Guards against a lost outcome if the caller disconnects and resends its key."""
 
     async def main(path):
         server = await path.add_server(service_ms=200)
         entry = await path.add_entry()
-        await leave(entry, "POST", lambda: server.n_in_flight, key="k1")
+        await send_and_disconnect(entry, "POST", lambda: server.n_in_flight, key="k1")
         await until(lambda: server.counts.n_completed)
         await until(lambda: not entry.callers.n_in_flight)
         await until(lambda: not entry.actions.n_storing)
@@ -197,7 +198,7 @@
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
 def test_server_that_stops_reading_ends_at_the_deadline(call_path, method):
-    """Guards against a request that waits without end while it is being sent."""
+    """Guards against a request that blocks indefinitely while it is being sent."""
 
     async def main(path):
         async def serve(client, address):
@@ -215,7 +216,7 @@
 
 @pytest.mark.parametrize("path_name", ["/market/a", "/elsewhere"])
 def test_head_request_gets_a_response_without_a_body(call_path, path_name):
-    """Guards against a broken connection where a HEAD request is refused."""
+    """Guards against a refusal with a body, which breaks the caller's connection."""
 
     async def main(path):
         entry = await path.add_entry()
@@ -225,8 +226,8 @@
     call_path(main)
 
 
-def test_no_request_is_left_behind(call_path):
-    """Guards against slots that leak when faults end attempts in any state."""
+def test_failed_attempts_release_their_slots(call_path):
+    """Guards against slot leaks when faults end attempts in different states."""
 
     async def main(path):
         server = await path.add_server()
@@ -254,8 +255,8 @@
     call_path(main, connections_per_endpoint=2)
 
 
-def test_short_deadlines_do_not_turn_a_server_cold(call_path):
-    """Guards against a caller without time that takes servers out of service."""
+def test_expired_requests_do_not_turn_a_server_cold(call_path):
+    """Guards against servers marked cold because of already expired requests."""
 
     async def main(path):
         server = await path.add_server()
@@ -272,9 +273,9 @@
     call_path(main)
 
 
-def test_callers_with_little_time_do_not_turn_a_server_cold(call_path):
-    """Guards against a caller whose deadlines are shorter than the service time and
-    that takes servers out of service for all others."""
+def test_timeouts_below_the_service_time_do_not_turn_a_server_cold(call_path):
+    """Guards against a server that is marked cold for all callers because one caller's
+    timeouts are shorter than the service time."""
 
     async def main(path):
         await path.add_server(service_ms=80)
@@ -282,7 +283,7 @@
         assert (await entry.send()).status == 200
         for _ in range(10):
             reply = await entry.send(pollenfold_timeout_ms=20)
-            # The server or the entry sees the end first.
+            # Either the server or the entry detects the expired deadline first.
             assert reply.status == 504
         assert entry.warm_changes == []
 
