--- a/pollenfold/entry/actions.py
+++ b/pollenfold/entry/actions.py
@@ -68,7 +68,7 @@
         has stored the claim.
         """
         if self._n_claiming >= MAX_CLAIMS_IN_FLIGHT:
-            return _overloaded(key, is_callers_key)
+            return _overload_response(key, is_callers_key)
         register = f"{spec.name}/{key.decode('latin-1')}"
         self._n_claiming += 1
         try:
@@ -80,7 +80,7 @@
                 register, claim_id, is_callers_key, dispatch
             )
         elif isinstance(claim, Completed):
-            response = _replay(claim.outcome)
+            response = _replayed_response(claim.outcome)
         elif isinstance(claim, InProgress):
             response = error_response(ErrorKind.IN_PROGRESS)
         elif isinstance(claim, InDoubt):
@@ -178,7 +178,7 @@
             self.n_storing -= 1
 
 
-def _overloaded(key: bytes, is_callers_key: bool) -> Response:
+def _overload_response(key: bytes, is_callers_key: bool) -> Response:
     """Refuse a request without sending a claim to the ledger.
 
     An earlier request with the same caller's key may have run.
@@ -196,7 +196,7 @@
     return Outcome(response.status, headers, response.body)
 
 
-def _replay(outcome: Outcome) -> Response:
+def _replayed_response(outcome: Outcome) -> Response:
     """Return the stored response, marked as replayed."""
     if _BODY_OMITTED in outcome.headers:
         detail = "the first response was too long to be stored"
--- a/pollenfold/entry/attempts.py
+++ b/pollenfold/entry/attempts.py
@@ -31,7 +31,7 @@
 """Identifies one exchange on its connection. If the server echoes it, a duplicated
 response is distinguished from the response to the next request on the connection."""
 
-_OWN_HEADERS = HOP_HEADERS | {EXCHANGE_ID, TIMEOUT_HEADER}
+_PER_HOP_HEADERS = HOP_HEADERS | {EXCHANGE_ID, TIMEOUT_HEADER}
 _ENTRY_HEADERS = frozenset(
     (b"idempotency-key", b"pollenfold-replayed", b"pollenfold-run-state")
 )
@@ -50,7 +50,7 @@
     response: Response | None = None
 
 
-def later_result(earlier: AttemptResult, later: AttemptResult) -> AttemptResult:
+def combine_results(earlier: AttemptResult, later: AttemptResult) -> AttemptResult:
     """Return the result that counts after two attempts of one request.
 
     An attempt that never started does not override an earlier one that was lost or
@@ -80,13 +80,13 @@
 
 def forwarded_headers(request: Request, extra: Headers) -> Headers:
     """Return the headers to forward: all but those of the caller's connection."""
-    headers = [pair for pair in request.headers if pair[0] not in _OWN_HEADERS]
+    headers = [pair for pair in request.headers if pair[0] not in _PER_HOP_HEADERS]
     return headers + extra
 
 
 def relayed_headers(response: Response) -> Headers:
     """Return the headers of a response that are relayed to the caller."""
-    return [pair for pair in response.headers if pair[0] not in _OWN_HEADERS]
+    return [pair for pair in response.headers if pair[0] not in _PER_HOP_HEADERS]
 
 
 def backend_headers(response: Response) -> Headers:
@@ -107,7 +107,7 @@
     return AttemptOutcome.SERVER_ERROR
 
 
-class OpenAttempt:
+class PooledAttempt:
     """One exchange over a connection of a pool.
 
     ``start`` sends the request; ``wait`` reads the response and may be repeated while
@@ -220,7 +220,7 @@
             await self._pool.release(connection)
 
 
-class Attempt(OpenAttempt):
+class Attempt(PooledAttempt):
     """An attempt at one backend server, which holds a slot there."""
 
     __slots__ = ("backend",)
--- a/pollenfold/entry/forwarding.py
+++ b/pollenfold/entry/forwarding.py
@@ -17,7 +17,7 @@
 from ..core.retries import AttemptOutcome, may_retry
 from ..http.messages import Request, Response, find_header
 from ..http.pool import Pool
-from .attempts import AttemptResult, Exchange, OpenAttempt, relayed_headers
+from .attempts import AttemptResult, Exchange, PooledAttempt, relayed_headers
 
 if TYPE_CHECKING:
     from .state import Directory
@@ -49,8 +49,8 @@
         """Return the response of the first owner that accepted the request.
 
         None means that no owner was reached, so the request did not run. Raise
-        LostError if the request was lost after it was sent and no owner responded:
-        it may have run.
+        RequestLostError if the request was lost after it was sent and no owner
+        responded: it may have run.
         """
         headers = [*exchange.headers, (FORWARDED_BY, self._entry_id.encode())]
         forwarded = Exchange(exchange.request, headers, exchange.deadline)
@@ -61,18 +61,18 @@
             if result.response is not None:
                 last = result.response
                 if not _did_not_run(last):
-                    return _relayed(last)
+                    return _relayed_response(last)
             elif not may_retry(result.outcome, request_class):
-                raise LostError
+                raise RequestLostError
             is_lost |= result.outcome is AttemptOutcome.LOST
         if is_lost:
-            raise LostError
-        return None if last is None else _relayed(last)
+            raise RequestLostError
+        return None if last is None else _relayed_response(last)
 
     async def _attempt(
         self, pool: Pool, exchange: Exchange, request_class: RequestClass
     ) -> AttemptResult:
-        attempt = OpenAttempt(pool, self._clock)
+        attempt = PooledAttempt(pool, self._clock)
         try:
             result = await attempt.start(exchange)
             if result is None:
@@ -100,7 +100,7 @@
         return pools
 
 
-class LostError(Exception):
+class RequestLostError(Exception):
     """A forwarded request may have run, but no response arrived."""
 
 
@@ -114,5 +114,5 @@
     return state == RunState.DID_NOT_RUN.value.encode() and response.status == 503
 
 
-def _relayed(response: Response) -> Response:
+def _relayed_response(response: Response) -> Response:
     return Response(response.status, relayed_headers(response), response.body)
--- a/pollenfold/entry/hedges.py
+++ b/pollenfold/entry/hedges.py
@@ -9,7 +9,7 @@
 
 from ..core.clock import add_ms
 from ..core.outcomes import AttemptOutcome
-from .attempts import Attempt, AttemptResult, Exchange, later_result
+from .attempts import Attempt, AttemptResult, Exchange, combine_results
 
 if TYPE_CHECKING:
     from .services import ServiceRuntime
@@ -78,7 +78,7 @@
             result = task.result
             if task is first_task:
                 first_result = result
-            last = result if last is None else later_result(last, result)
+            last = result if last is None else combine_results(last, result)
             if last.outcome is AttemptOutcome.RESPONDED:
                 break
         await group.cancel_remaining()
--- a/pollenfold/entry/proxy.py
+++ b/pollenfold/entry/proxy.py
@@ -21,10 +21,10 @@
     CallerGone,
     Exchange,
     backend_headers,
+    combine_results,
     forwarded_headers,
-    later_result,
 )
-from .forwarding import Forwarder, LostError, is_forwarded
+from .forwarding import Forwarder, RequestLostError, is_forwarded
 from .hedges import run_hedged_attempt
 from .refusal import Refusal
 
@@ -39,7 +39,7 @@
 """Called with service, class, status and latency in ms of each final response."""
 
 
-def _ignore(
+def _ignore_response(
     service: ServiceSpec, request_class: RequestClass, status: int, latency_ms: float
 ) -> None:
     return None
@@ -59,7 +59,7 @@
         forwarder: Forwarder,
         has_lease: Callable[[], bool],
         clock: Clock,
-        observe: Observer = _ignore,
+        observe: Observer = _ignore_response,
     ) -> None:
         self._services = services
         self._actions = actions
@@ -88,7 +88,7 @@
             if request_class is RequestClass.IDEMPOTENT:
                 response = await self._run_idempotent(runtime, request, deadline)
             else:
-                response = await self._run_action(runtime, request, deadline)
+                response = await self._run_non_idempotent(runtime, request, deadline)
         except CallerGone:
             return None
         latency_ms = self._clock() - started_at
@@ -119,7 +119,7 @@
             return Response(result.status, backend_headers(result), result.body)
         return result.response()
 
-    async def _run_action(
+    async def _run_non_idempotent(
         self, runtime: ServiceRuntime, request: Request, deadline: Instant
     ) -> Response:
         caller_key = request.header(IDEMPOTENCY_KEY)
@@ -166,7 +166,7 @@
             return await self._forwarder.forward(
                 exchange, runtime.warmup_owners, request_class
             )
-        except LostError:
+        except RequestLostError:
             if request_class is RequestClass.IDEMPOTENT:
                 return Refusal(ErrorKind.BACKEND_FAILED).response()
             return Refusal(ErrorKind.OUTCOME_UNKNOWN).response()
@@ -235,7 +235,7 @@
         else:
             attempt = runtime.begin(candidate)
             result = await _attempt_once(runtime, attempt, exchange)
-        last = result if last is None else later_result(last, result)
+        last = result if last is None else combine_results(last, result)
         if last.outcome is AttemptOutcome.RESPONDED:
             return _final_result(last, Refusal(ErrorKind.BACKEND_FAILED))
         tried.add(candidate.key)
--- a/pollenfold/entry/route.py
+++ b/pollenfold/entry/route.py
@@ -44,7 +44,7 @@
         self._clients: dict[Address, RpcClient] = {}
         self._current: Address | None = None
         self._is_direct = True
-        self._next_direct = Instant(0.0)
+        self._next_direct_at = Instant(0.0)
         self._n_searches = 0
         self._search_lock = curio.Lock()
 
@@ -63,7 +63,7 @@
         async with self._search_lock:
             latest = self._current
             if latest in (None, current) or not self._may_use_current(is_direct):
-                if self._must_wait(is_direct):
+                if self._is_direct_backing_off(is_direct):
                     return None
                 self._current = None
                 return await self._search(replace(request, wait_ms=0.0), is_direct)
@@ -78,11 +78,13 @@
     def _may_use_current(self, is_direct: bool) -> bool:
         if self._is_direct:
             return True
-        return not is_direct and self._clock() < self._next_direct
+        return not is_direct and self._clock() < self._next_direct_at
 
-    def _must_wait(self, is_direct: bool) -> bool:
+    def _is_direct_backing_off(self, is_direct: bool) -> bool:
         """Return whether the control replicas were recently tried without success."""
-        return is_direct and not self._is_direct and self._clock() < self._next_direct
+        return (
+            is_direct and not self._is_direct and self._clock() < self._next_direct_at
+        )
 
     async def _send(
         self, address: Address, request: LeaseRequest
@@ -115,7 +117,7 @@
         reply = await self._send_to_all(self._control, request, True)
         if reply is None and not is_direct:
             reply = await self._send_to_all(self._choose_peers(), request, False)
-        self._next_direct = add_ms(self._clock(), DIRECT_RETRY_MS)
+        self._next_direct_at = add_ms(self._clock(), DIRECT_RETRY_MS)
         return reply
 
     async def _send_to_all(
--- a/pollenfold/tests/entry/test_actions.py
+++ b/pollenfold/tests/entry/test_actions.py
@@ -134,7 +134,7 @@
     call_path(main)
 
 
-def test_response_too_long_to_store_is_not_executed_again(call_path):
+def test_request_with_an_unstorable_response_is_not_executed_again(call_path):
     """Guards against a second execution if the outcome is too long for the ledger."""
 
     async def main(path):
@@ -150,8 +150,8 @@
     call_path(main)
 
 
-def test_claim_without_outcome_is_never_executed_again(call_path):
-    """Guards against a second execution after the server closed during the first."""
+def test_request_without_a_stored_outcome_is_never_executed_again(call_path):
+    """Guards against a second execution after the server closed the connection."""
 
     async def main(path):
         server = await path.add_server({"kind": "close_after_run"})
