--- a/pollenfold/entry/forwarding.py
+++ b/pollenfold/entry/forwarding.py
@@ -1,8 +1,8 @@
-"""Forwards requests to the warm-up owners when this entry may use no endpoint.
+"""Forwards requests to warm-up owners if this entry may send to no endpoint.
 
 While every endpoint of a service is cold, for example after an outage, only their
-warm-up owners may send to them. Callers reach any entry, so the others pass requests
-on to an owner, one hop only.
+warm-up owners may send to them. Callers connect to any entry, so the other entries
+forward requests to an owner, over at most one hop.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from ..core.retries import AttemptOutcome, may_retry
 from ..http.messages import Request, Response, find_header
 from ..http.pool import Pool
-from .attempts import AttemptResult, Exchange, OpenAttempt, relayed_headers
+from .attempts import AttemptResult, Exchange, PooledAttempt, relayed_headers
 
 if TYPE_CHECKING:
     from .state import Directory
@@ -28,7 +28,7 @@
 
 
 class Forwarder:
-    """Passes requests on to other entries over pooled connections."""
+    """Forwards requests to other entries over pooled connections."""
 
     def __init__(
         self,
@@ -46,32 +46,33 @@
     async def forward(
         self, exchange: Exchange, owners: tuple[str, ...], request_class: RequestClass
     ) -> Response | None:
-        """Return the response of the first owner that took the request.
+        """Return the response of the first owner that accepted the request.
 
-        None means that no owner was reached, so that nothing ran. Raise LostError
-        when the request was lost on the way and no owner responded: it may have run.
+        None means that no owner was reached, so the request did not run. Raise
+        RequestLostError if the request was lost after it was sent and no owner
+        responded: it may have run.
         """
         headers = [*exchange.headers, (FORWARDED_BY, self._entry_id.encode())]
-        passed_on = Exchange(exchange.request, headers, exchange.deadline)
+        forwarded = Exchange(exchange.request, headers, exchange.deadline)
         last: Response | None = None
         is_lost = False
         for pool in self._choose_pools(owners):
-            result = await self._attempt(pool, passed_on, request_class)
+            result = await self._attempt(pool, forwarded, request_class)
             if result.response is not None:
                 last = result.response
                 if not _did_not_run(last):
-                    return _relayed(last)
+                    return _relayed_response(last)
             elif not may_retry(result.outcome, request_class):
-                raise LostError
+                raise RequestLostError
             is_lost |= result.outcome is AttemptOutcome.LOST
         if is_lost:
-            raise LostError
-        return None if last is None else _relayed(last)
+            raise RequestLostError
+        return None if last is None else _relayed_response(last)
 
     async def _attempt(
         self, pool: Pool, exchange: Exchange, request_class: RequestClass
     ) -> AttemptResult:
-        attempt = OpenAttempt(pool, self._clock)
+        attempt = PooledAttempt(pool, self._clock)
         try:
             result = await attempt.start(exchange)
             if result is None:
@@ -99,12 +100,12 @@
         return pools
 
 
-class LostError(Exception):
-    """A forwarded request may have run, and no response came."""
+class RequestLostError(Exception):
+    """A forwarded request may have run, but no response arrived."""
 
 
 def is_forwarded(request: Request) -> bool:
-    """Return whether another entry passed the request on."""
+    """Return whether another entry forwarded the request."""
     return request.header(FORWARDED_BY) is not None
 
 
@@ -113,5 +114,5 @@
     return state == RunState.DID_NOT_RUN.value.encode() and response.status == 503
 
 
-def _relayed(response: Response) -> Response:
+def _relayed_response(response: Response) -> Response:
     return Response(response.status, relayed_headers(response), response.body)
