--- a/pollenfold/cli/client.py
+++ b/pollenfold/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls the operator interface of the control replicas."""
+"""HTTP client for the operator interface of the control replicas."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 EXCHANGE_TIMEOUT_MS = 1500.0
 """Longer than the time after which a replica reports an unknown outcome. A leader
-that hangs holds a command up for this time; then the next leader is asked."""
+that hangs delays a command for this time; then the next replica is tried."""
 
 CONNECT_TIMEOUT_MS = 500.0
-"""A replica behind a silent partition doesn't hold a command up for longer."""
+"""Limits the delay from a replica behind a network partition that drops packets."""
 
 RETRY_MS = 100.0
 
-_TRY_ELSEWHERE = {
+_RETRYABLE_ERRORS = {
     ErrorKind.NOT_LEADER.value,
     ErrorKind.NOT_READY.value,
     ErrorKind.NO_QUORUM.value,
 }
-"""Errors after which the same request is sent again: it changes nothing twice,
-because a change carries its id."""
+"""Errors after which the request is retried. A retry can't apply a change twice,
+because each change carries an id."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,10 +52,10 @@
 
 
 class OperatorClient:
-    """Sends requests to the leader among the control replicas.
+    """Sends requests to the leader of the control replicas.
 
-    ``addresses`` are operator addresses. A request is sent again, also to the other
-    replicas, until ``timeout_ms`` has passed.
+    ``addresses`` are operator addresses. A request is retried, on the other replicas
+    too, until ``timeout_ms`` has passed.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
     async def post_record(
         self, record: bytes, change_id: str
     ) -> Result[Reply, Failure]:
-        """Store a record; a resend with the same id gets the first answer."""
+        """Store a record; a retry with the same id gets the first response."""
         headers = [(CHANGE_ID_HEADER, change_id.encode())]
         return await self._request(b"POST", "/v1/records", headers, record)
 
@@ -89,12 +89,12 @@
         body: bytes,
     ) -> Result[Reply, Failure]:
         deadline = add_ms(self._clock(), self._timeout_ms)
-        failure = Failure(ErrorKind.UNREACHABLE, "no control replica")
+        failure = Failure(ErrorKind.UNREACHABLE, "no control replica to connect to")
         while True:
-            queue = list(self._addresses)
+            pending = list(self._addresses)
             tried: set[Address] = set()
-            while queue:
-                address = queue.pop(0)
+            while pending:
+                address = pending.pop(0)
                 if address in tried:
                     continue
                 tried.add(address)
@@ -103,12 +103,12 @@
                     failure = result.error
                     continue
                 reply = result.ok
-                if reply.error not in _TRY_ELSEWHERE:
+                if reply.error not in _RETRYABLE_ERRORS:
                     return Ok(reply)
                 failure = Failure(ErrorKind(reply.error), reply.describe())
                 leader = _read_leader(reply)
                 if leader is not None:
-                    queue.insert(0, leader)
+                    pending.insert(0, leader)
             if self._clock() >= deadline:
                 return Error(failure)
             await curio.sleep(RETRY_MS / 1000)
--- a/pollenfold/cli/commands.py
+++ b/pollenfold/cli/commands.py
@@ -1,4 +1,4 @@
-"""The commands of operators."""
+"""The commands for operators."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from ..settings import OperatorSettings, load_settings
 from .client import OperatorClient
 from .operations import (
-    Accepted,
+    AcceptedChange,
     new_change_id,
     read_record,
     set_state,
@@ -39,10 +39,12 @@
         flag=False,
     ),
     option("token", description="bearer token; POLLENFOLD_TOKEN", flag=False),
-    option("timeout-ms", description="time for each request", flag=False),
+    option("timeout-ms", description="timeout of each request in ms", flag=False),
 ]
 WAIT_OPTION = option(
-    "wait-ms", description="time to wait for in force; 0 doesn't wait", flag=False
+    "wait-ms",
+    description="time in ms to wait until the change is in force; 0 doesn't wait",
+    flag=False,
 )
 
 
@@ -54,11 +56,11 @@
     def handle(self) -> int:
         """Read the settings, run the command and return the exit status."""
         names = ("operator", "token", "timeout-ms", "wait-ms")
-        known = {given.name for given in self.options}
+        supported = {flag.name for flag in self.options}
         flags = {
             name.replace("-", "_"): str(self.option(name))
             for name in names
-            if name in known and self.option(name) is not None
+            if name in supported and self.option(name) is not None
         }
         loaded = load_settings(OperatorSettings, flags)
         if loaded.is_error():
@@ -75,7 +77,7 @@
         return int(curio.run(self.operate, client))
 
     async def operate(self, client: OperatorClient) -> int:
-        """Do the work of the command and return the exit status."""
+        """Execute the command and return the exit status."""
         raise NotImplementedError
 
     def fail(self, failure: Failure, status: int = EXIT_FAILED) -> int:
@@ -84,37 +86,40 @@
         print(" ".join(line.split()), file=sys.stderr)
         return status
 
-    async def report(self, client: OperatorClient, title: str, done: Accepted) -> int:
-        """Print accepted, wait, and print in force when it is."""
-        self.report_accepted(title, done)
-        return await self.report_in_force(client, title, done)
+    async def report(
+        self, client: OperatorClient, title: str, change: AcceptedChange
+    ) -> int:
+        """Print that the change is accepted, and then whether it is in force."""
+        self.report_accepted(title, change)
+        return await self.report_in_force(client, title, change)
 
-    def report_accepted(self, title: str, done: Accepted) -> None:
+    def report_accepted(self, title: str, change: AcceptedChange) -> None:
         """Print that the change is accepted."""
-        if done.change_id is None:
-            print(f"{title} already so revision={done.revision}")
+        if change.change_id is None:
+            print(f"{title} already so revision={change.revision}")
         else:
             print(
-                f"{title} accepted revision={done.revision} change_id={done.change_id}",
+                f"{title} accepted revision={change.revision} "
+                f"change_id={change.change_id}",
                 flush=True,
             )
-        for name in done.unknown_fields:
+        for name in change.unknown_fields:
             print(f"{title} warning: unknown field {name} is kept", file=sys.stderr)
 
     async def report_in_force(
-        self, client: OperatorClient, title: str, done: Accepted
+        self, client: OperatorClient, title: str, change: AcceptedChange
     ) -> int:
-        """Wait, and print whether the change is in force."""
+        """Wait for the change to be in force, and print whether it is."""
         if self.wait_ms <= 0:
             return 0
-        result = await wait_in_force(client, done, self.wait_ms, system_clock)
+        result = await wait_in_force(client, change, self.wait_ms, system_clock)
         if result.is_error():
             return self.fail(result.error)
         if result.ok:
             waiting = ",".join(result.ok)
             print(f"{title} not in force after {self.wait_ms:g} ms waiting={waiting}")
             return EXIT_NOT_IN_FORCE
-        print(f"{title} in force revision={done.revision}")
+        print(f"{title} in force revision={change.revision}")
         return 0
 
 
@@ -150,7 +155,7 @@
 A change whose response was lost can be sent again with the change id that was
 printed, or given with --change-id: it is applied only once.
 
-Exit status: 0 in force, 1 refused or failed, 2 wrong setting, 3 accepted but not in
+Exit status: 0 in force, 1 refused or failed, 2 invalid setting, 3 accepted but not in
 force within --wait-ms.
 
 Example: <info>pollenfold apply booking.json --change-id booking-7</info>"""
@@ -164,26 +169,28 @@
     async def operate(self, client: OperatorClient) -> int:
         """Store each record in turn and stop at the first failure."""
         names = list(self.argument("files"))
-        given = self.option("change-id")
-        if given is not None and (len(names) > 1 or not CHANGE_ID.fullmatch(given)):
+        change_id_flag = self.option("change-id")
+        if change_id_flag is not None and (
+            len(names) > 1 or not CHANGE_ID.fullmatch(change_id_flag)
+        ):
             detail = f"--change-id: expected one file and {CHANGE_ID.pattern}"
             return self.fail(Failure(ErrorKind.BAD_SETTING, detail), EXIT_BAD_SETTING)
         records = read_files(names)
         if records.is_error():
             return self.fail(records.error)
-        done: list[tuple[str, Accepted]] = []
+        changes: list[tuple[str, AcceptedChange]] = []
         status = 0
         for _, record in records.ok:
-            change_id = given or new_change_id()
+            change_id = change_id_flag or new_change_id()
             result = await store_record(client, record.fields, change_id)
             if result.is_error():
                 detail = f"{_title(record)}: {result.error.detail}"
                 status = self.fail(Failure(result.error.kind, detail))
                 break
             self.report_accepted(_title(record), result.ok)
-            done.append((_title(record), result.ok))
-        for title, accepted in done:
-            status = await self.report_in_force(client, title, accepted) or status
+            changes.append((_title(record), result.ok))
+        for title, change in changes:
+            status = await self.report_in_force(client, title, change) or status
         return status
 
 
@@ -192,14 +199,14 @@
 
     name = "check"
     description = "Validate records without sending them"
-    help = """Prints one line for each file and names the field, the value and what is
-expected where a record is wrong.
+    help = """Prints one line for each file and names the field, the value and the
+expected value of an invalid record.
 
 Example: <info>pollenfold check booking.json</info>"""
     arguments = [argument("files", "JSON files, - for stdin", multiple=True)]
 
     def handle(self) -> int:
-        """Check every file and return 1 when one is wrong."""
+        """Check every file and return 1 when one is invalid."""
         status = 0
         for name in self.argument("files"):
             result = read_files([name])
@@ -228,7 +235,7 @@
         """Print the status of the leader, or of the first replica that responds."""
         result = await client.get("/v1/status?leader=true")
         if result.is_error():
-            # Without a leader any replica tells what it knows.
+            # Without a leader, any replica reports its own view.
             result = await client.get("/v1/status")
         if result.is_error():
             return self.fail(result.error)
@@ -303,7 +310,7 @@
     """Drains an endpoint."""
 
     name = "drain"
-    description = "Give an endpoint no new work, or give it work again"
+    description = "Stop sending new requests to an endpoint, or send them again"
     help = """Writes the endpoint record. --service is needed only for an endpoint
 without a record.
 
@@ -314,7 +321,7 @@
         *SERVER_OPTIONS,
         WAIT_OPTION,
         option("service", description="service of the endpoint", flag=False),
-        option("undo", description="give the endpoint work again"),
+        option("undo", description="send requests to the endpoint again"),
     ]
 
     async def operate(self, client: OperatorClient) -> int:
@@ -324,10 +331,10 @@
         new_record = None
         service = self.option("service")
         if service is not None:
-            known = await read_record(client, "service", service)
-            if known.is_error():
-                return self.fail(known.error)
-            if known.ok[0] is None:
+            service_record = await read_record(client, "service", service)
+            if service_record.is_error():
+                return self.fail(service_record.error)
+            if service_record.ok[0] is None:
                 detail = f"no service record {service}"
                 return self.fail(Failure(ErrorKind.NOT_FOUND, detail))
             new_record = {
@@ -347,7 +354,7 @@
 
 
 class RequestsCommand(OperatorCommand):
-    """Lists unresolved claims."""
+    """Lists claims of non-idempotent requests that have no outcome."""
 
     name = "requests"
     description = "List claims of non-idempotent requests without an outcome"
--- a/pollenfold/cli/daemons.py
+++ b/pollenfold/cli/daemons.py
@@ -18,7 +18,7 @@
 from ..settings.models import ENVIRONMENT_PREFIX
 from .commands import EXIT_BAD_SETTING, EXIT_FAILED
 
-Serve = Callable[[Any], Awaitable[None]]
+ServeFunction = Callable[[Any], Awaitable[None]]
 
 
 def _settings_options(model: type[BaseSettings]) -> list[Option]:
@@ -52,15 +52,15 @@
             return EXIT_BAD_SETTING
         configure_logs(str(self.name))
         try:
-            curio.run(self.find_serve(), loaded.ok)
+            curio.run(self.import_serve_function(), loaded.ok)
         except (OSError, RuntimeError, ValueError) as error:
-            # A port in use, a data folder that can't be used, or a task that ended.
+            # A port in use, an unusable data folder, or a task that ended unexpectedly.
             logger.error("event=stopped error={!r}", error)
             return EXIT_FAILED
         return 0
 
-    def find_serve(self) -> Serve:
-        """Import the daemon; the other roles are not loaded."""
+    def import_serve_function(self) -> ServeFunction:
+        """Import the daemon of this role only, and return its coroutine function."""
         raise NotImplementedError
 
 
@@ -75,7 +75,7 @@
 --caller-port 8080 --platform-port 8081 --peer-port 8082 \
 --control c1=10.0.0.1:7000 --ledger l1=10.0.0.2:7200</info>"""
 
-    def find_serve(self) -> Serve:
+    def import_serve_function(self) -> ServeFunction:
         """Import the entry daemon."""
         from ..entry.daemon import serve_entry
 
@@ -93,7 +93,7 @@
 --host 10.0.0.1 --peers c1=10.0.0.1:7000,c2=10.0.0.2:7000,c3=10.0.0.3:7000 \
 --operator-port 7100 --data-folder control-data</info>"""
 
-    def find_serve(self) -> Serve:
+    def import_serve_function(self) -> ServeFunction:
         """Import the control daemon."""
         from ..control.daemon import serve_control
 
@@ -111,7 +111,7 @@
 --peers l1=10.0.0.1:7200,l2=10.0.0.2:7200,l3=10.0.0.3:7200 \
 --data-folder ledger-data</info>"""
 
-    def find_serve(self) -> Serve:
+    def import_serve_function(self) -> ServeFunction:
         """Import the ledger daemon."""
         from ..ledger.daemon import serve_ledger
 
--- a/pollenfold/cli/main.py
+++ b/pollenfold/cli/main.py
@@ -1,4 +1,4 @@
-"""Entry point of the program ``pollenfold``."""
+"""Command line entry point of ``pollenfold``."""
 
 from __future__ import annotations
 
@@ -50,10 +50,10 @@
 
     ``arguments`` replaces those of the process.
     """
-    given = sys.argv[1:] if arguments is None else arguments
+    command_line = sys.argv[1:] if arguments is None else arguments
     try:
-        return int(make_application().run(ArgvInput(["pollenfold", *given])))
+        return int(make_application().run(ArgvInput(["pollenfold", *command_line])))
     except CleoError as error:
-        # A wrong flag or argument.
+        # An invalid flag or argument.
         print(f"pollenfold: {' '.join(str(error).split())}", file=sys.stderr)
         return EXIT_BAD_SETTING
--- a/pollenfold/cli/operations.py
+++ b/pollenfold/cli/operations.py
@@ -1,4 +1,4 @@
-"""What the operator commands do, apart from reading flags and printing."""
+"""Operations behind the operator commands, without flag parsing and output."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Accepted:
-    """A change that was accepted, or a state that was there already.
+class AcceptedChange:
+    """A change that was accepted, or that wasn't needed.
 
-    ``change_id`` is None in the second case.
+    ``change_id`` is None when the record already had the requested state.
     """
 
     revision: int
@@ -34,13 +34,13 @@
 
 
 def new_change_id() -> str:
-    """Return an id that no other change has."""
+    """Return a unique change id."""
     return uuid.uuid4().hex
 
 
 async def store_record(
     client: OperatorClient, fields: dict[str, Any], change_id: str
-) -> Result[Accepted, Failure]:
+) -> Result[AcceptedChange, Failure]:
     """Store one record under the change id."""
     result = await client.post_record(encode_fields(fields), change_id)
     if result.is_error():
@@ -49,7 +49,7 @@
     if reply.error is not None:
         return Error(_with_change_id(_to_failure(reply), change_id))
     unknown = tuple(reply.body.get("unknown_fields", ()))
-    return Ok(Accepted(reply.body["revision"], change_id, unknown))
+    return Ok(AcceptedChange(reply.body["revision"], change_id, unknown))
 
 
 async def read_record(
@@ -73,28 +73,29 @@
     name: str,
     state: str,
     new_record: dict[str, Any] | None = None,
-) -> Result[Accepted, Failure]:
+) -> Result[AcceptedChange, Failure]:
     """Set ``spec.state`` of a record and keep everything else in it.
 
-    ``new_record`` is stored when there is no record yet. A conflict is tried again
-    only when the other change left the state alone; where another operator changed
-    the state, that decision stands and ``VERSION_CONFLICT`` is returned.
+    ``new_record`` is stored when there is no record yet. After a version conflict
+    the write is retried only if the other change left the state as it was; where
+    another operator changed the state, that change is kept and
+    ``VERSION_CONFLICT`` is returned.
     """
-    read = await read_record(client, kind, name)
+    current = await read_record(client, kind, name)
     while True:
-        if read.is_error():
-            return Error(read.error)
-        record, revision = read.ok
+        if current.is_error():
+            return Error(current.error)
+        record, revision = current.ok
         if record is None and new_record is None:
             return Error(Failure(ErrorKind.NOT_FOUND, f"no {kind} record {name}"))
         if record is not None and record["spec"].get("state", "in") == state:
-            return Ok(Accepted(revision, None))
-        wanted = _with_state(record, state) if record else dict(new_record or {})
-        stored = await store_record(client, wanted, new_change_id())
+            return Ok(AcceptedChange(revision, None))
+        new_version = _with_state(record, state) if record else dict(new_record or {})
+        stored = await store_record(client, new_version, new_change_id())
         if stored.is_ok() or stored.error.kind is not ErrorKind.VERSION_CONFLICT:
             return stored
-        read = await read_record(client, kind, name)
-        if read.is_ok() and not _may_retry(record, read.ok[0], state):
+        current = await read_record(client, kind, name)
+        if current.is_ok() and not _may_retry(record, current.ok[0], state):
             return stored
 
 
@@ -106,7 +107,7 @@
 def _may_retry(
     before: dict[str, Any] | None, after: dict[str, Any] | None, state: str
 ) -> bool:
-    """Return whether one other change happened that doesn't concern the state.
+    """Return whether exactly one other change was stored, which kept the state.
 
     After several changes the state may have been changed and changed back.
     """
@@ -120,50 +121,50 @@
 
 
 async def wait_in_force(
-    client: OperatorClient, accepted: Accepted, wait_ms: float, clock: Clock
+    client: OperatorClient, change: AcceptedChange, wait_ms: float, clock: Clock
 ) -> Result[list[str], Failure]:
-    """Wait until the change is in force; return the entries that lack it by then.
+    """Wait until the change is in force; return the entries that still lack it.
 
     An empty list means that it is in force everywhere. ``["leader"]`` means that a
-    new leader waits for the leases of its predecessor to end.
+    new leader waits for the leases granted by its predecessor to expire.
     """
     deadline = add_ms(clock(), wait_ms)
     while True:
-        result = await client.get(_progress_path(accepted))
+        result = await client.get(_progress_path(change))
         if result.is_error():
             return Error(result.error)
         reply = result.ok
         if reply.error is not None:
             return Error(_to_failure(reply))
-        if _is_in_force(reply, accepted):
+        if _is_in_force(reply, change):
             return Ok([])
         if clock() >= deadline:
-            return Ok(_waiting_for(reply))
+            return Ok(_entries_behind(reply))
         await curio.sleep(POLL_MS / 1000)
 
 
-def _progress_path(accepted: Accepted) -> str:
-    if accepted.change_id is None:
+def _progress_path(change: AcceptedChange) -> str:
+    if change.change_id is None:
         return "/v1/status?leader=true"
-    return f"/v1/changes/{accepted.change_id}"
+    return f"/v1/changes/{change.change_id}"
 
 
-def _is_in_force(reply: Reply, accepted: Accepted) -> bool:
+def _is_in_force(reply: Reply, change: AcceptedChange) -> bool:
     if "in_force" in reply.body:
         return bool(reply.body["in_force"])
-    return bool(reply.body.get("in_force_revision", -1) >= accepted.revision)
+    return bool(reply.body.get("in_force_revision", -1) >= change.revision)
 
 
-def _waiting_for(reply: Reply) -> list[str]:
-    behind = reply.body.get("waiting_for")
-    if behind is None:
+def _entries_behind(reply: Reply) -> list[str]:
+    entry_ids = reply.body.get("waiting_for")
+    if entry_ids is None:
         entries = reply.body.get("entries", [])
-        behind = [entry["entry_id"] for entry in entries if entry["is_behind"]]
-    return list(behind) or ["leader"]
+        entry_ids = [entry["entry_id"] for entry in entries if entry["is_behind"]]
+    return list(entry_ids) or ["leader"]
 
 
 def _with_change_id(failure: Failure, change_id: str) -> Failure:
-    """Return the failure with the id under which the change can be sent again."""
+    """Add the change id, with which the change can be retried, to the failure."""
     detail = f"{failure.detail} change_id={change_id}".strip()
     return Failure(failure.kind, detail)
 
--- a/pollenfold/platform/__init__.py
+++ b/pollenfold/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the platform: translates its settings, calls and headers."""
+"""Adapter to the platform: translates its settings, API calls and headers."""
--- a/pollenfold/platform/__main__.py
+++ b/pollenfold/platform/__main__.py
@@ -17,7 +17,7 @@
 FEED_PORT_OFFSET = 1
 
 METRICS_PORTS = {"entry": 7670, "control": 7671}
-"""As in the deploy file, which names one port for all VMs."""
+"""The same ports as in the deploy file, which sets one per role for all VMs."""
 
 
 def _run_entry(source: SettingsSource) -> None:
@@ -81,7 +81,7 @@
         seeds=source.seed_hosts,
         reload=source.reload,
         is_founder=settings.is_first_start and founder == (api_host, api_port),
-        n_members=2 * settings.n_machines_lost + 1,
+        n_members=2 * settings.n_tolerated_failures + 1,
     )
     handler = make_handler(api_port, settings.zones)
     curio.run(serve_cluster, cluster, handler)
@@ -92,7 +92,7 @@
 
 def main(arguments: list[str]) -> int:
     """Run a role until it is stopped; return the exit status."""
-    # Settings are read after this, so a reload that is asked for now loses nothing.
+    # Settings are read after this, so a reload signal ignored until then is harmless.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     if len(arguments) != 1 or arguments[0] not in ROLES:
         expected = " or ".join(ROLES)
@@ -102,10 +102,10 @@
         source = SettingsSource(settings_path())
         ROLES[arguments[0]](source)
     except (SettingsError, KeyError) as error:
-        print(f"pollenfold.platform: bad settings: {error}", file=sys.stderr)
+        print(f"pollenfold.platform: invalid settings: {error}", file=sys.stderr)
         return EXIT_BAD_SETTING
     except (OSError, RuntimeError) as error:
-        # A port in use, a data folder that can't be used, or a part that ended.
+        # A port in use, an unusable data folder, or a task that ended unexpectedly.
         print(f"pollenfold.platform: {error}", file=sys.stderr)
         return EXIT_FAILED
     return 0
--- a/pollenfold/platform/control_api.py
+++ b/pollenfold/platform/control_api.py
@@ -1,4 +1,4 @@
-"""The platform's calls to control: heartbeats, configurations and evacuations."""
+"""The control API of the platform: heartbeats, configurations and evacuations."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 EVACUATIONS = "/-/evacuations/"
 CONFIGURATION = "/-/config"
 
-ORDER_TIMEOUT_MS = 900.0
-"""Callers try another replica after a second without an answer."""
+COMMAND_TIMEOUT_MS = 900.0
+"""Below the second after which callers try another replica."""
 
 
 class ControlApi:
-    """Translates calls of endpoints and the operator to orders."""
+    """Translates requests of endpoints and the operator into commands."""
 
     def __init__(self, node: ClusterNode, api_port: int, zones: frozenset[str]) -> None:
         self._node = node
@@ -31,11 +31,11 @@
         self._zones = zones
 
     async def handle(self, request: Request) -> Response:
-        """Answer one call."""
+        """Handle one request."""
         path = request.path
         method = request.method
         if path.startswith(INSTANCES) and method in (b"PUT", b"DELETE"):
-            return await self._instance(request, path.removeprefix(INSTANCES))
+            return await self._handle_instance(request, path.removeprefix(INSTANCES))
         if path.startswith(EVACUATIONS) and method in (b"POST", b"DELETE"):
             zone = path.removeprefix(EVACUATIONS)
             return await self._evacuate(zone, method == b"POST")
@@ -45,8 +45,8 @@
             return await self._get_configuration()
         return error_response(ErrorKind.NOT_FOUND, path)
 
-    def _refer(self, request: Request) -> Response | None:
-        """Send a caller on while this replica is no member of the group."""
+    def _redirect(self, request: Request) -> Response | None:
+        """Redirect to the leader, or refuse, while this replica isn't a member."""
         if self._node.is_member():
             return None
         host = self._node.leader_host()
@@ -55,55 +55,57 @@
         location = f"http://{host}:{self._port}".encode() + request.target
         return Response(307, [(b"location", location)])
 
-    async def _instance(self, request: Request, endpoint_id: str) -> Response:
-        referral = self._refer(request)
-        if referral is not None:
-            return referral
+    async def _handle_instance(self, request: Request, endpoint_id: str) -> Response:
+        redirect = self._redirect(request)
+        if redirect is not None:
+            return redirect
         if request.method == b"DELETE":
             now_ms = int(time.time() * 1000)
-            return self._answer(
+            return self._command_response(
                 "leave",
                 endpoint_id,
-                await self._book.depart(endpoint_id, now_ms, ORDER_TIMEOUT_MS),
+                await self._book.depart(endpoint_id, now_ms, COMMAND_TIMEOUT_MS),
             )
         try:
             announcement = decode_announcement(endpoint_id, request.body)
         except DocumentError as error:
-            return self._invalid("heartbeat", endpoint_id, error)
-        result = await self._book.announce(announcement, ORDER_TIMEOUT_MS)
+            return self._invalid_response("heartbeat", endpoint_id, error)
+        result = await self._book.announce(announcement, COMMAND_TIMEOUT_MS)
         if not announcement.is_leaving:
             return json_response(200, {})
-        return self._answer("drain", endpoint_id, result)
+        return self._command_response("drain", endpoint_id, result)
 
     async def _evacuate(self, zone: str, is_out: bool) -> Response:
         if self._zones and zone not in self._zones:
             return error_response(ErrorKind.NOT_FOUND, f"unknown zone {zone}")
-        result = await self._book.submit(Evacuate(zone, is_out), ORDER_TIMEOUT_MS)
-        return self._answer("zone_out" if is_out else "zone_in", zone, result)
+        result = await self._book.submit(Evacuate(zone, is_out), COMMAND_TIMEOUT_MS)
+        return self._command_response("zone_out" if is_out else "zone_in", zone, result)
 
     async def _configure(self, request: Request) -> Response:
         try:
             text = request.body.decode()
             configuration = decode_configuration(text)
         except (DocumentError, UnicodeDecodeError) as error:
-            return self._invalid("configuration", "", error)
-        order = Configure(configuration.version, text)
-        result = await self._book.submit(order, ORDER_TIMEOUT_MS)
-        return self._answer("configuration", str(configuration.version), result)
+            return self._invalid_response("configuration", "", error)
+        command = Configure(configuration.version, text)
+        result = await self._book.submit(command, COMMAND_TIMEOUT_MS)
+        return self._command_response(
+            "configuration", str(configuration.version), result
+        )
 
     async def _get_configuration(self) -> Response:
-        result = await self._book.read(ORDER_TIMEOUT_MS)
+        result = await self._book.read(COMMAND_TIMEOUT_MS)
         if result.is_error():
-            return self._answer("read", "", result)
+            return self._command_response("read", "", result)
         if not result.ok.version:
             return error_response(ErrorKind.NOT_READY, "no configuration yet")
         headers = [(b"content-type", b"application/json")]
         return Response(200, headers, result.ok.document.encode())
 
-    def _answer(
+    def _command_response(
         self, call: str, subject: str, result: Result[object, ErrorKind]
     ) -> Response:
-        """Answer an order once its outcome is known."""
+        """Log and count the outcome of a command, and return the response."""
         error = result.error if result.is_error() else None
         outcome = "accepted" if error is None else error.value
         self._node.metrics.count("orders_total", call=call, outcome=outcome)
@@ -122,7 +124,7 @@
         response.status = 503
         return response
 
-    def _invalid(self, call: str, subject: str, error: Exception) -> Response:
+    def _invalid_response(self, call: str, subject: str, error: Exception) -> Response:
         self._node.metrics.count("orders_total", call=call, outcome="invalid")
         self._node.log.state(
             "order_invalid", call=call, subject=subject, detail=str(error)[:200]
@@ -133,5 +135,5 @@
 def make_handler(
     api_port: int, zones: frozenset[str]
 ) -> Callable[[ClusterNode], Callable[[Request], object]]:
-    """Return what makes the handler of a node."""
+    """Return a factory of request handlers, one for each node."""
     return lambda node: ControlApi(node, api_port, zones).handle
--- a/pollenfold/platform/documents.py
+++ b/pollenfold/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decodes the platform's configuration and announcements, strictly, and once."""
+"""Decodes and validates the configuration and announcements of the platform."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 MAX_TIMEOUT_MS = 600_000
 MAX_NUMBER = 1e15
-KINDS = {"safe": True, "unsafe": False, "upload": False}
-"""Whether requests of a kind are idempotent. An upload is a large request that runs at
-most once, like any other that isn't."""
+IDEMPOTENCE_BY_KIND = {"safe": True, "unsafe": False, "upload": False}
+"""Whether requests of a kind are idempotent. An upload is a large request that, like
+any non-idempotent one, is executed at most once."""
 
-STATES = {"ready": False, "draining": True}
+IS_LEAVING_BY_STATE = {"ready": False, "draining": True}
 
 
 class DocumentError(ValueError):
-    """A document that is refused; the text names the field."""
+    """A document is invalid; the message names the field."""
 
 
 def decode_configuration(text: str) -> RoutingConfiguration:
-    """Decode a whole configuration; raise DocumentError for an invalid one."""
+    """Decode a complete configuration; raise DocumentError if it is invalid."""
     try:
         fields = json.loads(text)
     except (ValueError, RecursionError) as error:
@@ -37,123 +37,123 @@
     if not isinstance(fields, dict):
         raise DocumentError("expected an object")
     services = {}
-    for item in _list(fields, "services"):
-        service = _service(item)
+    for item in _list_field(fields, "services"):
+        service = _decode_service(item)
         services[service.name] = service
     hosts: dict[str, list[Route]] = {}
-    for item in _list(fields, "hosts"):
-        routes = hosts.setdefault(_text(item, "host").lower(), [])
-        routes += [_route(path, services) for path in _list(item, "paths")]
+    for item in _list_field(fields, "hosts"):
+        routes = hosts.setdefault(_text_field(item, "host").lower(), [])
+        routes += [_decode_route(path, services) for path in _list_field(item, "paths")]
     for host, routes in hosts.items():
         prefixes = [route.path_prefix for route in routes]
         if len(set(prefixes)) < len(prefixes):
             raise DocumentError(f"host {host}: two routes with one pathPrefix")
     return RoutingConfiguration(
-        _version(fields),
+        _decode_version(fields),
         {host: sorted_routes(routes) for host, routes in hosts.items()},
         services,
-        _limits(fields.get("limits", {})),
+        _decode_limits(fields.get("limits", {})),
     )
 
 
-def _version(fields: dict[str, Any]) -> int:
+def _decode_version(fields: dict[str, Any]) -> int:
     version = fields.get("version")
     if type(version) is not int or version < 1:
         raise DocumentError(f"version: expected a whole number, got {version!r}")
     return version
 
 
-def _service(item: Any) -> BackendService:
+def _decode_service(item: Any) -> BackendService:
     return BackendService(
-        name=_text(item, "name"),
-        health_path=_text(item, "healthPath"),
-        max_connections=int(_number(item, "maxConns", 100)),
-        warmup_ms=_number(item, "warmupS", 0) * 1000,
-        warmup_rate_per_s=_number(item, "warmupPerS", 0),
+        name=_text_field(item, "name"),
+        health_path=_text_field(item, "healthPath"),
+        max_connections=int(_number_field(item, "maxConns", 100)),
+        warmup_ms=_number_field(item, "warmupS", 0) * 1000,
+        warmup_rate_per_s=_number_field(item, "warmupPerS", 0),
     )
 
 
-def _route(item: Any, services: dict[str, BackendService]) -> Route:
-    name = _text(item, "name")
-    prefix = _text(item, "pathPrefix")
+def _decode_route(item: Any, services: dict[str, BackendService]) -> Route:
+    name = _text_field(item, "name")
+    prefix = _text_field(item, "pathPrefix")
     if not prefix.startswith("/"):
         raise DocumentError(f"route {name}: pathPrefix {prefix!r} lacks its slash")
-    kind = _text(item, "kind")
-    if kind not in KINDS:
+    kind = _text_field(item, "kind")
+    if kind not in IDEMPOTENCE_BY_KIND:
         raise DocumentError(f"route {name}: unknown kind {kind!r}")
-    timeout_ms = _number(item, "timeoutMs", None)
+    timeout_ms = _number_field(item, "timeoutMs", None)
     if not 0 < timeout_ms <= MAX_TIMEOUT_MS:
         raise DocumentError(
             f"route {name}: timeoutMs {timeout_ms:g} is not within ten minutes"
         )
-    parts = _parts(item, name)
+    parts = _decode_traffic_split(item, name)
     for part in parts:
         if part.service not in services:
             raise DocumentError(f"route {name}: unknown service {part.service!r}")
     return Route(
         name=name,
         path_prefix=prefix,
-        is_idempotent=KINDS[kind],
+        is_idempotent=IDEMPOTENCE_BY_KIND[kind],
         parts=parts,
         timeout_ms=timeout_ms,
-        target_latency_ms=_number(item, "targetLatencyMs", 1_000),
-        priority=int(_number(item, "priority", 0)),
-        max_attempts=int(_number(item, "maxAttempts", 1)),
+        target_latency_ms=_number_field(item, "targetLatencyMs", 1_000),
+        priority=int(_number_field(item, "priority", 0)),
+        max_attempts=int(_number_field(item, "maxAttempts", 1)),
     )
 
 
-def _parts(item: dict[str, Any], name: str) -> tuple[Part, ...]:
+def _decode_traffic_split(item: dict[str, Any], route_name: str) -> tuple[Part, ...]:
     split = item.get("trafficSplit")
     if split is None:
-        return (Part(_text(item, "service"), 1.0),)
+        return (Part(_text_field(item, "service"), 1.0),)
     parts = tuple(
-        Part(_text(part, "service"), _number(part, "weight", None))
-        for part in _list(item, "trafficSplit")
+        Part(_text_field(part, "service"), _number_field(part, "weight", None))
+        for part in _list_field(item, "trafficSplit")
     )
     if not parts or sum(part.weight for part in parts) <= 0:
-        raise DocumentError(f"route {name}: trafficSplit has no weight")
+        raise DocumentError(f"route {route_name}: trafficSplit has no weight")
     return parts
 
 
-def _limits(item: Any) -> CallerLimits:
-    known = CallerLimits()
+def _decode_limits(item: Any) -> CallerLimits:
+    defaults = CallerLimits()
     return CallerLimits(
-        head_bytes=int(_number(item, "headerBytes", known.head_bytes)),
-        body_bytes=int(_number(item, "bodyBytes", known.body_bytes)),
-        head_timeout_ms=_number(item, "headerMs", known.head_timeout_ms),
-        idle_timeout_ms=_number(item, "idleMs", known.idle_timeout_ms),
+        head_bytes=int(_number_field(item, "headerBytes", defaults.head_bytes)),
+        body_bytes=int(_number_field(item, "bodyBytes", defaults.body_bytes)),
+        head_timeout_ms=_number_field(item, "headerMs", defaults.head_timeout_ms),
+        idle_timeout_ms=_number_field(item, "idleMs", defaults.idle_timeout_ms),
     )
 
 
-def _list(item: Any, name: str) -> list[Any]:
+def _list_field(item: Any, name: str) -> list[Any]:
     value = item.get(name) if isinstance(item, dict) else None
     if not isinstance(value, list):
         raise DocumentError(f"{name}: expected a list, got {value!r}")
     return value
 
 
-def _text(item: Any, name: str) -> str:
+def _text_field(item: Any, name: str) -> str:
     value = item.get(name) if isinstance(item, dict) else None
     if not isinstance(value, str) or not value:
         raise DocumentError(f"{name}: expected a text, got {value!r}")
     return value
 
 
-def _number(item: Any, name: str, default: float | None) -> float:
-    """Return a finite number of 0 or more; None as the default makes it required."""
+def _number_field(item: Any, name: str, default: float | None) -> float:
+    """Return a finite number of 0 or more; the field is required if default is None."""
     if not isinstance(item, dict):
         raise DocumentError(f"expected an object with {name}, got {item!r}")
     value = item.get(name, default)
-    # JSON allows 1e999, which reads as infinity, and Python's reader NaN as well.
+    # JSON allows 1e999, which decodes to infinity; Python's decoder also accepts NaN.
     if type(value) not in (int, float) or not 0 <= value <= MAX_NUMBER:
         raise DocumentError(f"{name}: expected a number, got {value!r}")
     return float(value)
 
 
 def decode_announcement(endpoint_id: str, body: bytes) -> Announcement:
-    """Decode what an endpoint says of itself; raise DocumentError.
+    """Decode the announcement of an endpoint; raise DocumentError if it is invalid.
 
-    ``info`` holds what stays the same during one life, ``status`` what changes.
+    ``info`` holds what is constant during one incarnation, ``status`` what changes.
     """
     try:
         fields = json.loads(body)
@@ -163,27 +163,27 @@
         raise DocumentError("expected an object")
     info = fields.get("info")
     status = fields.get("status")
-    host, _, port = _text(fields, "address").rpartition(":")
+    host, _, port = _text_field(fields, "address").rpartition(":")
     if not host or not port.isdigit():
         raise DocumentError(f"address: got {fields['address']!r}")
-    state = _text(status, "state")
-    if state not in STATES:
+    state = _text_field(status, "state")
+    if state not in IS_LEAVING_BY_STATE:
         raise DocumentError(f"state: unknown state {state!r}")
     return Announcement(
         endpoint_id=endpoint_id,
-        service=_text(info, "service"),
+        service=_text_field(info, "service"),
         host=host,
         port=int(port),
-        zone=_text(info, "zone"),
-        slots=_whole(info, "slots"),
-        is_leaving=STATES[state],
-        warmup_left_ms=_number(status, "warmupLeftMs", None),
-        born_ms=_whole(fields, "born") if "born" in fields else 0,
-        sequence=_whole(status, "sequence"),
+        zone=_text_field(info, "zone"),
+        slots=_integer_field(info, "slots"),
+        is_leaving=IS_LEAVING_BY_STATE[state],
+        warmup_left_ms=_number_field(status, "warmupLeftMs", None),
+        born_ms=_integer_field(fields, "born") if "born" in fields else 0,
+        sequence=_integer_field(status, "sequence"),
     )
 
 
-def _whole(item: Any, name: str) -> int:
+def _integer_field(item: Any, name: str) -> int:
     value = item.get(name) if isinstance(item, dict) else None
     if type(value) is not int or value < 0:
         raise DocumentError(f"{name}: expected a whole number, got {value!r}")
--- a/pollenfold/platform/headers.py
+++ b/pollenfold/platform/headers.py
@@ -11,19 +11,19 @@
 
 
 def parse_load(value: bytes) -> ServerLoad | None:
-    """Read running, waiting, slots and, where told, the slowdown in percent."""
+    """Parse running, waiting, slots and an optional slowdown in percent."""
     try:
-        figures = [int(part) for part in value.split(b",")]
+        fields = [int(part) for part in value.split(b",")]
     except ValueError:
         return None
-    if len(figures) < 3 or min(figures) < 0:
+    if len(fields) < 3 or min(fields) < 0:
         return None
-    slowdown = figures[3] / 100 if len(figures) > 3 else 1.0
-    return ServerLoad(figures[0], figures[1], figures[2], slowdown)
+    slowdown = fields[3] / 100 if len(fields) > 3 else 1.0
+    return ServerLoad(fields[0], fields[1], fields[2], slowdown)
 
 
 def is_genuine(response: Response) -> bool:
-    """Return whether a response is the backend server's whole answer.
+    """Return whether a response is the unmodified response of the backend server.
 
     A success always carries the server's signature and no content encoding.
     """
--- a/pollenfold/records/__init__.py
+++ b/pollenfold/records/__init__.py
@@ -1,1 +1,1 @@
-"""Records as operators write them: JSON of schema versions 1 and 2."""
+"""JSON records written by operators, in schema versions 1 and 2."""
--- a/pollenfold/records/models.py
+++ b/pollenfold/records/models.py
@@ -1,4 +1,4 @@
-"""Models of the JSON records of schema versions 1 and 2, with their bounds.
+"""Validation models of the JSON records of schema versions 1 and 2.
 
 Schema 2 adds optional fields only. Fields that a model doesn't know are kept in the
 record and returned, so that a record of a later schema survives an older process.
@@ -46,7 +46,7 @@
     request_class: Literal["idempotent", "non_idempotent"] = Field(alias="class")
 
     def to_rule(self) -> Rule:
-        """Return the rule as the decisions use it."""
+        """Return the rule in the form that the core uses."""
         return Rule(
             tuple(self.methods), self.path_prefix, RequestClass(self.request_class)
         )
@@ -55,7 +55,7 @@
 class ServiceModel(_Model):
     """Spec of a service record, schema 1.
 
-    The upper bounds only catch mistakes such as a wrong unit; they lie well above
+    The upper bounds only catch mistakes such as a wrong unit; they are well above
     the sizes that the system is designed for.
     """
 
@@ -83,7 +83,7 @@
         return self
 
     def to_spec(self, name: str, version: int) -> ServiceSpec:
-        """Return the service as the decisions use it."""
+        """Return the service in the form that the core uses."""
         return ServiceSpec(
             name=name,
             tenant=self.tenant,
@@ -116,7 +116,7 @@
     region: Name = "default"
 
     def to_spec(self, name: str, version: int) -> ZoneSpec:
-        """Return the zone as the decisions use it."""
+        """Return the zone in the form that the core uses."""
         return ZoneSpec(name, self.region, self.state == "in", version)
 
 
@@ -132,7 +132,7 @@
     max_entries: int = Field(default=19, ge=1, le=1000)
 
     def to_spec(self, name: str, version: int) -> FleetSpec:
-        """Return the fleet limits as the decisions use them."""
+        """Return the fleet limits in the form that the core uses."""
         return FleetSpec(self.max_entries)
 
 
@@ -149,7 +149,7 @@
     state: Literal["in", "drained"] = "drained"
 
     def to_spec(self, name: str, version: int) -> EndpointSpec:
-        """Return the endpoint as the decisions use it."""
+        """Return the endpoint in the form that the core uses."""
         return EndpointSpec(name, self.service, self.state == "drained")
 
 
@@ -175,7 +175,7 @@
 
 
 class EnvelopeModel(_Model):
-    """The part that all records share."""
+    """The fields that all records share."""
 
     schema_version: int = Field(ge=1, le=LATEST_SCHEMA_VERSION)
     kind: Literal["service", "zone", "fleet", "endpoint"]
--- a/pollenfold/records/parsing.py
+++ b/pollenfold/records/parsing.py
@@ -1,4 +1,4 @@
-"""Reads JSON records into frozen data classes, and names what is wrong in them."""
+"""Parses JSON records into frozen data classes, and describes invalid fields."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from .models import LATEST_SCHEMA_VERSION, SPEC_MODELS, EnvelopeModel
 
 MAX_RECORD_BYTES = 64 * 1024
-"""Keeps a record far below one frame, which carries it to replicas and entries."""
+"""Well below the size of a frame, which carries a record to replicas and entries."""
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedRecord:
-    """A valid record: its fields as written, and its spec as the decisions use it.
+    """A valid record: its fields as written, and its spec in the form of the core.
 
     ``unknown_fields`` names the fields that this process doesn't know; they are kept
     in ``fields``.
@@ -39,9 +39,9 @@
 
 
 def encode_fields(fields: dict[str, Any]) -> bytes:
-    """Return the fields as JSON with sorted keys, the form in which it is stored.
+    """Return the fields as JSON with sorted keys, the form in which they are stored.
 
-    A resend may order the keys differently and is still the same record.
+    A retry may order the keys differently and is still the same record.
     """
     return json.dumps(fields, sort_keys=True, separators=(",", ":")).encode()
 
@@ -49,7 +49,7 @@
 def parse_record(
     data: bytes, *, is_stored: bool = False
 ) -> Result[ParsedRecord, Failure]:
-    """Read one record; ``BAD_RECORD`` names the field, the value and what is expected.
+    """Parse one record; ``BAD_RECORD`` names the field, its value and the expected one.
 
     ``is_stored`` accepts a later schema version, which a newer control replica may
     have stored, and reads the fields that this process knows.
@@ -63,20 +63,20 @@
 def parse_fields(
     fields: dict[str, Any], *, is_stored: bool = False
 ) -> Result[ParsedRecord, Failure]:
-    """Read one record that is already decoded from JSON, as ``parse_record`` does."""
-    known = dict(fields)
+    """Parse one record that is already decoded from JSON; see ``parse_record``."""
+    readable = dict(fields)
     schema_version = fields.get("schema_version")
     if is_stored and type(schema_version) is int:
-        known["schema_version"] = min(schema_version, LATEST_SCHEMA_VERSION)
+        readable["schema_version"] = min(schema_version, LATEST_SCHEMA_VERSION)
     try:
-        envelope = EnvelopeModel.model_validate(known)
+        envelope = EnvelopeModel.model_validate(readable)
     except ValidationError as error:
-        return Error(Failure(ErrorKind.BAD_RECORD, _describe(error, "")))
+        return Error(Failure(ErrorKind.BAD_RECORD, _describe_error(error, "")))
     kind = RecordKind(envelope.kind)
     try:
         model = SPEC_MODELS[kind, envelope.schema_version].model_validate(envelope.spec)
     except ValidationError as error:
-        return Error(Failure(ErrorKind.BAD_RECORD, _describe(error, "spec")))
+        return Error(Failure(ErrorKind.BAD_RECORD, _describe_error(error, "spec")))
     unknown = [*(envelope.model_extra or {}), *_unknown_names(model, "spec")]
     return Ok(
         ParsedRecord(
@@ -95,7 +95,7 @@
         detail = f"got {len(data)} bytes, expected at most {MAX_RECORD_BYTES}"
         return Error(Failure(ErrorKind.BAD_RECORD, detail))
     try:
-        value = json.loads(data, parse_constant=_refuse_constant)
+        value = json.loads(data, parse_constant=_reject_constant)
     except RecursionError:
         detail = "got nested values, expected fewer levels"
         return Error(Failure(ErrorKind.BAD_RECORD, detail))
@@ -108,7 +108,7 @@
     return Ok(value)
 
 
-def _refuse_constant(name: str) -> None:
+def _reject_constant(name: str) -> None:
     raise ValueError(f"{name} is not a JSON number")
 
 
@@ -119,8 +119,8 @@
     return names
 
 
-def _describe(error: ValidationError, prefix: str) -> str:
-    """Return the field, the value and the expectation of the first mistake."""
+def _describe_error(error: ValidationError, prefix: str) -> str:
+    """Return the field, the value and the expected value of the first error."""
     first = error.errors(include_url=False)[0]
     field = ".".join(
         str(part) for part in ([prefix] if prefix else []) + [*first["loc"]]
--- a/pollenfold/settings/models.py
+++ b/pollenfold/settings/models.py
@@ -34,7 +34,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read ``host:port``; raise ValueError that says what was expected."""
+    """Parse ``host:port``; raise ValueError with the expected form."""
     host, separator, port = text.strip().rpartition(":")
     if not separator or not port.isascii() or not port.isdecimal():
         raise ValueError(f"IP address and port such as 10.0.0.1:7000, not {text!r}")
@@ -50,7 +50,7 @@
 
 
 def _parse_members(value: Any) -> Any:
-    """Read ``id=host:port,id=host:port``."""
+    """Parse ``id=host:port,id=host:port``."""
     if not isinstance(value, str):
         return value
     members: dict[str, Address] = {}
@@ -65,7 +65,7 @@
 
 
 def _parse_addresses(value: Any) -> Any:
-    """Read ``host:port,host:port``."""
+    """Parse ``host:port,host:port``."""
     if not isinstance(value, str):
         return value
     return [parse_address(part) for part in value.split(",") if part.strip()]
@@ -167,25 +167,32 @@
 
     operator: Addresses = Field(description="operator addresses: host:port,host:port")
     token: Token = Field(description="bearer token of the operator interface")
-    timeout_ms: Duration = Field(default=5000, description="time for each request")
-    wait_ms: Duration = Field(default=10_000, description="time to wait for in force")
+    timeout_ms: Duration = Field(
+        default=5000, description="timeout of each request in ms"
+    )
+    wait_ms: Duration = Field(
+        default=10_000,
+        description="time in ms to wait until a change is in force",
+    )
 
 
-S = TypeVar("S", bound=BaseSettings)
+SettingsT = TypeVar("SettingsT", bound=BaseSettings)
 
 
-def load_settings(model: type[S], flags: dict[str, str]) -> Result[S, Failure]:
+def load_settings(
+    model: type[SettingsT], flags: dict[str, str]
+) -> Result[SettingsT, Failure]:
     """Read settings from flags and the environment.
 
-    A wrong setting gives ``BAD_SETTING``, whose detail is one line.
+    An invalid setting gives ``BAD_SETTING``, whose detail is one line.
     """
     try:
         return Ok(model(**flags))
     except ValidationError as error:
-        return Error(Failure(ErrorKind.BAD_SETTING, _describe(error)))
+        return Error(Failure(ErrorKind.BAD_SETTING, _describe_error(error)))
 
 
-def _describe(error: ValidationError) -> str:
+def _describe_error(error: ValidationError) -> str:
     first = error.errors(include_url=False)[0]
     name = str(first["loc"][0]) if first["loc"] else ""
     message = first["msg"]
--- a/pollenfold/tests/cli/test_commands.py
+++ b/pollenfold/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands of operators against a control replica."""
+"""The operator commands against a control replica."""
 
 import json
 import os
@@ -30,7 +30,10 @@
 
 @pytest.fixture
 def program(capsys):
-    """Return a coroutine function that gives exit status, output and errors."""
+    """Return a coroutine function that runs a command.
+
+    It returns exit status, output and errors.
+    """
 
     async def run_program(control, *arguments):
         host, port = control.operator
@@ -44,7 +47,7 @@
 
 @pytest.fixture
 def write(tmp_path):
-    """Return a function that writes a record and returns the name of its file."""
+    """Return a function that writes a record to a file and returns the file name."""
 
     def write_record(kind="zone", name="a", version=1, **spec):
         path = tmp_path / f"{kind}-{name}-{version}.json"
@@ -64,7 +67,7 @@
 
 
 def test_apply_reports_accepted_then_in_force(control_run, program, write):
-    """Guards against in force that is printed before it is true, or never."""
+    """Guards against a change that is reported in force too early or never."""
 
     async def steps(control):
         first = write()
@@ -83,7 +86,7 @@
 
 
 def test_apply_names_the_entry_that_lacks_the_change(control_run, program, write):
-    """Guards against an operator who takes accepted for in force."""
+    """Guards against a change reported in force while an entry still lacks it."""
 
     async def steps(control):
         directory = control.state.leadership().directory
@@ -104,7 +107,7 @@
 
 
 def test_bad_file_stops_apply_before_anything_is_sent(control_run, program, write):
-    """Guards against half of a set of records that is stored."""
+    """Guards against storing only some records of a set that has an invalid one."""
 
     async def steps(control):
         bad = write(name="b", state="gone")
@@ -118,7 +121,7 @@
 
 
 def test_zone_out_and_in_keep_the_other_fields(control_run, program, write):
-    """Guards against fields of a later schema that a command drops."""
+    """Guards against a command that drops fields of a later schema."""
 
     async def steps(control):
         await program(control, "apply", write(region="r", later={"x": 1}))
@@ -138,7 +141,7 @@
 
 
 class RacingClient(OperatorClient):
-    """Another operator writes just before the first change of this one."""
+    """A client whose first change comes just after those of another operator."""
 
     def __init__(self, control, others):
         super().__init__([control.operator], TOKEN, system_clock, 2000)
@@ -165,7 +168,7 @@
     ],
 )
 def test_conflict_never_overwrites_another_decision(control_run, others, error, final):
-    """Guards against a command that undoes what another operator just decided."""
+    """Guards against a command that overwrites the change of another operator."""
 
     async def steps(control):
         changes = [record(version=2 + n, **spec) for n, spec in enumerate(others)]
@@ -180,7 +183,7 @@
 
 
 def test_drain_and_undo(control_run, program, write):
-    """Guards against an endpoint that can't be drained, or not brought back."""
+    """Guards against an endpoint that can't be drained, or can't be put back."""
 
     async def steps(control):
         name = "10.0.0.7:80"
@@ -198,7 +201,7 @@
 
 
 def test_commands_follow_the_leader(control_run, program, write):
-    """Guards against an operator who has to know which replica leads."""
+    """Guards against commands that only work when sent to the leader."""
 
     async def steps(control):
         follower = ControlFake("c2", control.peers, control.operators)
@@ -245,7 +248,7 @@
     ],
 )
 def test_wrong_setting_is_one_line_and_exit_status_2(arguments, expected, capsys):
-    """Guards against a daemon that starts with a setting nobody meant."""
+    """Guards against a daemon that starts with an invalid setting."""
     assert main(arguments.split()) == 2
     output = capsys.readouterr()
     assert (output.out, output.err.count("\n")) == ("", 1)
@@ -253,7 +256,7 @@
 
 
 def test_status_prints_the_latencies_of_entries(run, capsys):
-    """Guards against latencies by tenant and class that operators can't see."""
+    """Guards against a status without the latencies by tenant and class."""
 
     async def main_task():
         histograms = Histograms()
--- a/pollenfold/tests/conftest.py
+++ b/pollenfold/tests/conftest.py
@@ -7,7 +7,7 @@
 from pollenfold.testing.control import ControlFake
 
 LEASE_MS = 600.0
-"""Longer than a long poll, and short enough for a test to wait for its end."""
+"""Longer than a long poll, and short enough for a test to wait until it expires."""
 
 
 @pytest.fixture
@@ -45,5 +45,5 @@
 
 
 def is_settled(control):
-    held = control.state.leadership()
-    return held is not None and held.directory.is_settled(system_clock())
+    leadership = control.state.leadership()
+    return leadership is not None and leadership.directory.is_settled(system_clock())
--- a/pollenfold/tests/platform/test_documents.py
+++ b/pollenfold/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""The platform's documents: what is decoded, and what is refused."""
+"""Decoding and validation of the documents of the platform."""
 
 import copy
 import json
@@ -60,7 +60,7 @@
     ("kind", "is_idempotent"), [("safe", True), ("unsafe", False), ("upload", False)]
 )
 def test_only_safe_requests_are_idempotent(kind, is_idempotent):
-    """Guards against an upload that is sent twice, or a kind that is refused."""
+    """Guards against an upload that is retried, or a known kind that is refused."""
     route = {**ROUTE, "kind": kind}
     document = {**CONFIGURATION, "hosts": [{"host": "a.example", "paths": [route]}]}
     configuration = decode_configuration(json.dumps(document))
@@ -68,7 +68,7 @@
 
 
 def edited(document, path, value):
-    """Return a copy with the value at a path; None removes the field."""
+    """Return a copy with the value set at the path; None removes the field."""
     document = copy.deepcopy(document)
     *parents, last = path
     item = document
@@ -82,7 +82,7 @@
 
 
 def test_configuration_is_decoded():
-    """Guards against a field that lands in the wrong place."""
+    """Guards against a field that is decoded into the wrong attribute."""
     configuration = decode_configuration(json.dumps(CONFIGURATION))
     assert configuration.version == 7
     assert configuration.services["booking"].warmup_ms == 3000
@@ -120,21 +120,21 @@
 def test_invalid_configuration_is_refused(path, value):
     """Guards against an invalid configuration that comes into force.
 
-    A route without a time to wait was accepted on one day of a hunt.
+    A route without a timeout was once accepted in a system test.
     """
     with pytest.raises(DocumentError):
         decode_configuration(json.dumps(edited(CONFIGURATION, path, value)))
 
 
 @pytest.mark.parametrize("text", ["", "[]", "7", json.dumps(CONFIGURATION)[:-40]])
-def test_configuration_that_is_no_document_is_refused(text):
-    """Guards against a document that was cut short."""
+def test_malformed_configuration_is_refused(text):
+    """Guards against a truncated document or one that is no object."""
     with pytest.raises(DocumentError):
         decode_configuration(text)
 
 
 def test_announcement_is_decoded():
-    """Guards against fields that are mixed up."""
+    """Guards against a field that is decoded into the wrong attribute."""
     announcement = decode_announcement("i-1", json.dumps(ANNOUNCEMENT).encode())
     assert (announcement.host, announcement.port) == ("10.0.0.9", 8080)
     assert announcement.order == (1_780_000_000_000, 4)
@@ -158,14 +158,14 @@
         (("born",), "yesterday"),
     ],
 )
-def test_odd_announcement_is_refused(path, value):
-    """Guards against an endpoint that a broken writer invents."""
+def test_invalid_announcement_is_refused(path, value):
+    """Guards against adding an endpoint from an invalid announcement."""
     body = json.dumps(edited(ANNOUNCEMENT, path, value)).encode()
     with pytest.raises(DocumentError):
         decode_announcement("i-1", body)
 
 
-def test_unreadable_announcement_is_refused():
-    """Guards against bytes that end the process."""
+def test_undecodable_announcement_is_refused():
+    """Guards against undecodable bytes that terminate the process."""
     with pytest.raises(DocumentError):
         decode_announcement("i-1", b"\xff\x00{")
--- a/pollenfold/tests/platform/test_settings.py
+++ b/pollenfold/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, and the headers of its backend servers."""
+"""The settings file of the platform, and the headers of its backend servers."""
 
 import json
 import re
@@ -46,26 +46,26 @@
 
 @pytest.fixture
 def source(tmp_path):
-    """Return the source of a settings file in a folder of the test."""
+    """Return the settings source of a file in a temporary folder."""
     path = tmp_path / "settings.toml"
     path.write_text(TEXT)
     return SettingsSource(path)
 
 
 def test_settings_are_read(source):
-    """Guards against a field that is read under another name."""
+    """Guards against a field that is read under a wrong name."""
     settings = source.settings
     assert settings.name == "front-a-1"
     assert settings.addresses == {"front": ("10.1.0.35", 8144)}
     assert source.seed_hosts() == ["10.1.0.38", "10.2.0.31"]
-    assert (settings.is_first_start, settings.n_machines_lost) == (True, 2)
+    assert (settings.is_first_start, settings.n_tolerated_failures) == (True, 2)
     assert settings.bound("graceS", 1) == 6
     assert settings.bound("closed", 3) == 3
     assert settings.link_bytes_per_ms == 250.0
 
 
 def render(template, fields):
-    """Fill the template in as the platform does: one level, JSON values."""
+    """Fill in the template as the platform does: one level, JSON values."""
 
     def section(match):
         return match[2] if match[1] in fields else ""
@@ -75,8 +75,8 @@
 
 
 @pytest.mark.parametrize("extra", [{}, {"dataDir": "/data/control"}])
-def test_template_gives_the_settings_of_the_plain_file(tmp_path, extra):
-    """Guards against a field that the template of the deploy file leaves out."""
+def test_template_yields_the_settings_of_the_toml_file(tmp_path, extra):
+    """Guards against a field that is missing from the template of the deploy file."""
     fields = tomllib.loads(TEXT)
     fields["self"] |= extra
     plain = {
@@ -102,10 +102,10 @@
         ("linkMbps = 2.0", "linkMbps = inf", "linkMbps"),
     ],
 )
-def test_bad_settings_end_with_one_clear_line(
+def test_invalid_settings_are_reported_on_one_line(
     tmp_path, monkeypatch, capsys, old, new, word
 ):
-    """Guards against a trace instead of the name of the field."""
+    """Guards against a traceback instead of the name of the invalid field."""
     path = tmp_path / "settings.toml"
     path.write_text(TEXT.replace(old, new, 1))
     monkeypatch.setenv("POLLENFOLD_BOOT", str(path))
@@ -116,13 +116,13 @@
 
 
 def test_unknown_role_is_refused(capsys):
-    """Guards against a deploy file with a wrong role that starts something."""
+    """Guards against starting a process for a role that doesn't exist."""
     assert main(["ledger"]) == 2
     assert "entry or control" in capsys.readouterr().err
 
 
 def test_reload_keeps_the_old_settings_when_the_file_is_bad(source):
-    """Guards against a half-written file that takes the seeds away."""
+    """Guards against a partially written file that removes the seeds."""
     source._path.write_text("[self")
     with pytest.raises(SettingsError, match="settings.toml"):
         source.reload()
@@ -133,7 +133,7 @@
 
 
 def test_missing_file_is_an_error(tmp_path):
-    """Guards against a start without settings."""
+    """Guards against a process that starts without settings."""
     with pytest.raises(SettingsError):
         SettingsSource(tmp_path / "none.toml")
 
@@ -149,7 +149,7 @@
     ],
 )
 def test_load_header(value, load):
-    """Guards against a malformed load that counts as an idle server."""
+    """Guards against a malformed load header that is read as an idle server."""
     assert parse_load(value) == load
 
 
@@ -167,5 +167,5 @@
     ],
 )
 def test_success_needs_the_signature(status, headers, is_whole):
-    """Guards against a success that isn't the server's."""
+    """Guards against accepting a success that the server didn't send unmodified."""
     assert is_genuine(Response(status, headers)) is is_whole
--- a/pollenfold/tests/records/test_models.py
+++ b/pollenfold/tests/records/test_models.py
@@ -1,4 +1,4 @@
-"""JSON records of both schema versions, good and bad."""
+"""Valid and invalid JSON records of both schema versions."""
 
 import json
 
@@ -57,7 +57,7 @@
     ],
 )
 def test_bad_record_names_field_value_and_expectation(data, field, value, expected):
-    """Guards against a bad record that is accepted, or whose error doesn't help."""
+    """Guards against an invalid record that is accepted or reported vaguely."""
     failure = parse_record(data).error
     assert failure.kind is ErrorKind.BAD_RECORD
     assert field in failure.detail
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("schema_version", [1, 2])
 def test_both_schema_versions_give_the_same_spec(schema_version):
-    """Guards against a rollout during which the versions mean different things."""
+    """Guards against versions that give different specs during a rollout."""
     rules = [{"methods": ["GET"], "path_prefix": "/status", "class": "idempotent"}]
     parsed = parse_record(record(schema_version=schema_version, rules=rules)).ok
     assert parsed.spec.timeout_ms == 2000
@@ -78,7 +78,7 @@
 
 
 def test_unknown_fields_are_kept_and_named():
-    """Guards against fields of a later schema that an older process drops."""
+    """Guards against an older process that drops fields of a later schema."""
     data = json.loads(
         record(weight=3, rules=[{"methods": ["GET"], "class": "idempotent", "x": 1}])
     )
@@ -89,7 +89,7 @@
 
 
 def test_stored_record_of_a_later_schema_is_read():
-    """Guards against an entry that stops at a record of a newer control replica."""
+    """Guards against an entry that rejects a record of a newer control replica."""
     data = record("zone", "a", schema_version=9, state="out", later=True)
     assert parse_record(data).is_error()
     assert not parse_record(data, is_stored=True).ok.spec.is_in
@@ -106,7 +106,7 @@
 
 
 def test_encoding_does_not_depend_on_the_order_of_keys():
-    """Guards against a resend that is taken for another record."""
+    """Guards against a retry that is treated as a different record."""
     data = json.loads(record())
-    turned = json.dumps(dict(reversed(data.items()))).encode()
-    assert parse_record(turned).ok.encode() == parse_record(record()).ok.encode()
+    reordered = json.dumps(dict(reversed(data.items()))).encode()
+    assert parse_record(reordered).ok.encode() == parse_record(record()).ok.encode()
--- a/pollenfold/tests/test_curio_subset.py
+++ b/pollenfold/tests/test_curio_subset.py
@@ -1,4 +1,4 @@
-"""The part of curio that an entry loads."""
+"""The subset of curio that an entry loads."""
 
 import subprocess
 import sys
@@ -44,12 +44,12 @@
 
 
 def run(program):
-    """Return what a new interpreter prints; fail when it ends with an error."""
-    ended = subprocess.run(
+    """Run a program in a new interpreter and return the words that it prints."""
+    completed = subprocess.run(
         [sys.executable, "-c", program], capture_output=True, text=True, timeout=60
     )
-    assert ended.returncode == 0, ended.stderr
-    return ended.stdout.split()
+    assert completed.returncode == 0, completed.stderr
+    return completed.stdout.split()
 
 
 @pytest.mark.parametrize(
@@ -64,10 +64,10 @@
     ],
 )
 def test_entry_does_not_load_what_it_never_uses(name):
-    """Guards against an import that makes every entry larger."""
+    """Guards against an import that adds to the memory of every entry."""
     assert name not in run(ENTRY)
 
 
 def test_tasks_sockets_and_timeouts_work():
-    """Guards against a part that is missing from the subset."""
+    """Guards against a submodule that is missing from the subset."""
     assert run(EXCHANGE) == ["ping"]
