--- a/pollenfold/cli/commands.py
+++ b/pollenfold/cli/commands.py
@@ -310,7 +310,7 @@
     """Drains an endpoint."""
 
     name = "drain"
-    description = "Stop sending new requests to an endpoint, or send them again"
+    description = "Stop or resume sending new requests to an endpoint"
     help = """Writes the endpoint record. --service is needed only for an endpoint
 without a record.
 
@@ -321,7 +321,7 @@
         *SERVER_OPTIONS,
         WAIT_OPTION,
         option("service", description="service of the endpoint", flag=False),
-        option("undo", description="send requests to the endpoint again"),
+        option("undo", description="resume sending requests to the endpoint"),
     ]
 
     async def operate(self, client: OperatorClient) -> int:
--- a/pollenfold/platform/documents.py
+++ b/pollenfold/platform/documents.py
@@ -86,15 +86,15 @@
         raise DocumentError(
             f"route {name}: timeoutMs {timeout_ms:g} is not within ten minutes"
         )
-    parts = _decode_traffic_split(item, name)
-    for part in parts:
-        if part.service not in services:
-            raise DocumentError(f"route {name}: unknown service {part.service!r}")
+    weighted_services = _decode_traffic_split(item, name)
+    for weighted in weighted_services:
+        if weighted.service not in services:
+            raise DocumentError(f"route {name}: unknown service {weighted.service!r}")
     return Route(
         name=name,
         path_prefix=prefix,
         is_idempotent=IDEMPOTENCE_BY_KIND[kind],
-        parts=parts,
+        parts=weighted_services,
         timeout_ms=timeout_ms,
         target_latency_ms=_number_field(item, "targetLatencyMs", 1_000),
         priority=int(_number_field(item, "priority", 0)),
@@ -106,13 +106,13 @@
     split = item.get("trafficSplit")
     if split is None:
         return (Part(_text_field(item, "service"), 1.0),)
-    parts = tuple(
+    weighted_services = tuple(
         Part(_text_field(part, "service"), _number_field(part, "weight", None))
         for part in _list_field(item, "trafficSplit")
     )
-    if not parts or sum(part.weight for part in parts) <= 0:
+    if not weighted_services or sum(part.weight for part in weighted_services) <= 0:
         raise DocumentError(f"route {route_name}: trafficSplit has no weight")
-    return parts
+    return weighted_services
 
 
 def _decode_limits(item: Any) -> CallerLimits:
--- a/pollenfold/platform/headers.py
+++ b/pollenfold/platform/headers.py
@@ -23,7 +23,7 @@
 
 
 def is_genuine(response: Response) -> bool:
-    """Return whether a response is the unmodified response of the backend server.
+    """Return whether a response is the complete response of the backend server.
 
     A success always carries the server's signature and no content encoding.
     """
--- a/pollenfold/tests/cli/test_commands.py
+++ b/pollenfold/tests/cli/test_commands.py
@@ -110,12 +110,12 @@
     """Guards against storing only some records of a set that has an invalid one."""
 
     async def steps(control):
-        bad = write(name="b", state="gone")
-        status, out, err = await program(control, "apply", write(), bad)
+        invalid_file = write(name="b", state="gone")
+        status, out, err = await program(control, "apply", write(), invalid_file)
         assert (status, out) == (1, "")
         assert "spec.state: got 'gone', expected 'in' or 'out'" in err
         assert control.state.configuration.revision == 0
-        assert await curio.run_in_thread(main, ["check", bad]) == 1
+        assert await curio.run_in_thread(main, ["check", invalid_file]) == 1
 
     control_run(steps)
 
--- a/pollenfold/tests/platform/test_settings.py
+++ b/pollenfold/tests/platform/test_settings.py
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "headers", "is_whole"),
+    ("status", "headers", "is_complete"),
     [
         (200, [(b"x-response-signature", b"s")], True),
         (200, [], False),
@@ -166,6 +166,6 @@
         (500, [], True),
     ],
 )
-def test_success_needs_the_signature(status, headers, is_whole):
-    """Guards against accepting a success that the server didn't send unmodified."""
-    assert is_genuine(Response(status, headers)) is is_whole
+def test_success_needs_the_signature(status, headers, is_complete):
+    """Guards against accepting a success that didn't come from the server."""
+    assert is_genuine(Response(status, headers)) is is_complete
