--- a/pollenfold/tests/platform/test_documents.py
+++ b/pollenfold/tests/platform/test_documents.py
@@ -120,7 +120,7 @@
 def test_invalid_configuration_is_refused(path, value):
     """Guards against an invalid configuration that comes into force.
 
-    A route without a timeout was once accepted in a system test.
+    A route without a timeout was accepted in one earlier run.
     """
     with pytest.raises(DocumentError):
         decode_configuration(json.dumps(edited(CONFIGURATION, path, value)))
