--- a/pollenfold/tests/wire/test_rpc.py
+++ b/pollenfold/tests/wire/test_rpc.py
@@ -1,4 +1,4 @@
-"""Remote calls between processes, with garbage and lost peers."""
+"""RPC between processes with malformed frames, lost peers and failed handlers."""
 
 import gc
 
@@ -19,7 +19,7 @@
 
 
 async def is_closed_by_peer(sock):
-    """A peer that closes with unread bytes resets the connection."""
+    """A reset counts: a peer that closes with unread bytes resets the connection."""
     try:
         return await sock.recv(100) == b""
     except ConnectionResetError:
@@ -35,7 +35,10 @@
 
 
 def test_responses_match_their_requests(run):
-    """Guards against a response that reaches another request of the connection."""
+    """Guards against a response that is returned to another call on the connection.
+
+    The second of two concurrent calls gets its response first.
+    """
 
     async def main():
         task, port = await start_server({Protocol.LEDGER: echo})
@@ -61,7 +64,10 @@
 def test_failed_call_is_an_error_and_the_next_one_works(
     run, protocol, payload, timeout_ms
 ):
-    """Guards against a failed call that blocks the connection or the server."""
+    """Guards against a failed call that blocks the connection or the server.
+
+    The handler raises, the protocol has no handler, or the call times out.
+    """
 
     async def main():
         task, port = await start_server({Protocol.LEDGER: echo})
@@ -76,20 +82,20 @@
 
 
 @pytest.mark.parametrize(
-    "garbage",
+    "malformed",
     [
         b"\xff" * 64,
         (MAX_PAYLOAD_BYTES + 1).to_bytes(4, "big") + b"\x01\x00\x00\x00\x00\x01",
         b"\x00\x00\x00\x01\x63\x00\x00\x00\x00\x01x",
     ],
 )
-def test_garbage_closes_only_its_connection(run, garbage):
-    """Guards against garbage between processes that stops the server."""
+def test_malformed_frame_closes_only_its_connection(run, malformed):
+    """Guards against a malformed frame that stops the server or other connections."""
 
     async def main():
         task, port = await start_server({Protocol.LEDGER: echo})
         sock = await curio.open_connection("127.0.0.1", port)
-        await sock.sendall(garbage)
+        await sock.sendall(malformed)
         assert await is_closed_by_peer(sock)
         await sock.close()
         client = RpcClient("127.0.0.1", port)
@@ -101,7 +107,7 @@
 
 
 def test_call_after_the_server_restarted(run):
-    """Guards against a client that stays broken after its peer was replaced."""
+    """Guards against a client that does not reconnect after it lost its connection."""
 
     async def main():
         task, port = await start_server({Protocol.LEDGER: echo})
@@ -116,8 +122,8 @@
     run(main)
 
 
-def test_ended_requests_leave_no_tasks(run):
-    """Guards against a server whose memory grows with each request."""
+def test_completed_requests_leave_no_tasks(run):
+    """Guards against a server that holds the task of each completed request."""
 
     async def main():
         task, port = await start_server({Protocol.LEDGER: echo})
@@ -138,8 +144,8 @@
     run(main)
 
 
-def test_oversized_response_is_an_error_at_once(run):
-    """Guards against a response that can't be sent and leaves the caller waiting."""
+def test_oversized_response_is_an_immediate_error(run):
+    """Guards against a response that is too large to send and blocks the caller."""
 
     async def main():
         async def answer(payload):
@@ -156,15 +162,18 @@
     run(main)
 
 
-def test_call_that_ends_while_sending_does_not_damage_the_next_one(run):
-    """Guards against a frame that the peer reads as the rest of an unfinished one."""
+def test_call_aborted_while_sending_does_not_corrupt_the_next_frame(run):
+    """Guards against a frame that the peer reads as the remainder of a partial one.
+
+    The calls time out while the peer reads nothing and its socket buffers are full.
+    """
 
     async def main():
         listener = curio.tcp_server_socket("127.0.0.1", 0)
         client = RpcClient("127.0.0.1", listener.getsockname()[1])
         large = b"x" * MAX_PAYLOAD_BYTES
         for _ in range(8):
-            # Nobody reads: after some calls the socket buffers are full.
+            # Nothing reads from the connection, so the socket buffers fill up.
             await client.call(Protocol.LEDGER, large, 20)
         server = RpcServer({Protocol.LEDGER: echo})
         task = await curio.spawn(curio.network.run_server, listener, server.handle)
@@ -176,9 +185,9 @@
     run(main)
 
 
-def test_finished_requests_are_forgotten(run):
+def test_number_of_tasks_is_bounded(run):
     """Guards against a server whose memory grows with every request of a
-    connection."""
+    connection, because it keeps the tasks of earlier requests."""
 
     async def main():
         task, port = await start_server({Protocol.LEDGER: echo})
--- a/pollenfold/wire/__init__.py
+++ b/pollenfold/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Frames, schemas and remote calls between the system's own processes."""
+"""Framing, message schemas and RPC between the processes of the system."""
--- a/pollenfold/wire/agreement.capnp
+++ b/pollenfold/wire/agreement.capnp
@@ -1,6 +1,6 @@
 @0xb6f3a1c94d2e8057;
 
-# Messages between control replicas, and the records of their log on disk.
+# Messages between control replicas, and the records of their replicated log on disk.
 
 struct Entry {
   index @0 :UInt64;
--- a/pollenfold/wire/agreement.py
+++ b/pollenfold/wire/agreement.py
@@ -1,4 +1,4 @@
-"""Messages of the replicated log as bytes."""
+"""Encodes and decodes the messages of the replicated log with Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -44,9 +44,9 @@
 
 
 @cache
-def _field_names(kind: type) -> tuple[tuple[str, str], ...]:
-    """Return each field's name in the data class and in the schema."""
-    return tuple((item.name, _camel_case(item.name)) for item in fields(kind))
+def _field_names(message_type: type) -> tuple[tuple[str, str], ...]:
+    """Return the name of each field in the data class and in the schema."""
+    return tuple((item.name, _camel_case(item.name)) for item in fields(message_type))
 
 
 def _schema_value(name: str, value: Any) -> Any:
@@ -66,12 +66,12 @@
 
 
 def entry_fields(entry: Entry) -> dict[str, Any]:
-    """Return an entry as fields of the schema."""
+    """Return a log entry as a dictionary of schema fields."""
     return {"index": entry.index, "term": entry.term, "command": entry.command}
 
 
 def founder_fields(founders: tuple[tuple[str, str], ...]) -> list[dict[str, str]]:
-    """Return the founders as fields of the schema."""
+    """Return the founders as dictionaries of schema fields."""
     return [
         {"replicaId": replica_id, "incarnation": incarnation}
         for replica_id, incarnation in founders
@@ -79,12 +79,12 @@
 
 
 def read_founders(reader: Any) -> tuple[tuple[str, str], ...]:
-    """Return the founders of a schema reader."""
+    """Return the founders from the reader of a list of ``Founder``."""
     return tuple((item.replicaId, item.incarnation) for item in reader)
 
 
 def encode_message(message: Message) -> bytes:
-    """Return a message as the payload of a frame."""
+    """Return a message encoded as the payload of a frame."""
     body = message.body
     body_fields = {
         name: _schema_value(field, getattr(body, field))
@@ -103,19 +103,19 @@
 
 
 def decode_message(payload: bytes) -> Result[Message, Failure]:
-    """Read a message; a malformed payload gives ``BAD_FRAME``."""
+    """Decode a message; a malformed payload gives ``BAD_FRAME``."""
     schema = load_schema("agreement")
     try:
         with schema.Message.from_bytes(
             payload, traversal_limit_in_words=MAX_TRAVERSAL_WORDS
         ) as reader:
             body_name = reader.which()
-            kind = _BODY_TYPES[str(body_name)]
+            body_type = _BODY_TYPES[str(body_name)]
             body_reader = getattr(reader, str(body_name))
-            body = kind(
+            body = body_type(
                 *(
                     _python_value(field, getattr(body_reader, name))
-                    for field, name in _field_names(kind)
+                    for field, name in _field_names(body_type)
                 )
             )
             return Ok(
--- a/pollenfold/wire/connections.py
+++ b/pollenfold/wire/connections.py
@@ -10,8 +10,8 @@
 async def open_connection(host: str, port: int) -> socket.socket:
     """Connect to an IP address; raise OSError when it can't be reached.
 
-    ``curio.open_connection`` looks names up in a worker thread. Addresses here are
-    IP addresses, so no look-up and no thread is needed.
+    ``curio.open_connection`` resolves host names in a worker thread. IP addresses
+    need no name resolution, so this function uses no thread.
     """
     is_ipv6 = ":" in host and ipaddress.ip_address(host).version == 6
     sock = socket.socket(socket.AF_INET6 if is_ipv6 else socket.AF_INET)
--- a/pollenfold/wire/frames.py
+++ b/pollenfold/wire/frames.py
@@ -1,4 +1,4 @@
-"""The frame that carries every message between the system's processes."""
+"""The frame format of all RPC messages between processes of the system."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from ..core.errors import ErrorKind, Failure
 
 MAX_PAYLOAD_BYTES = 1 << 20
-"""Greatest payload of one frame; bounds the memory that a bad peer can claim."""
+"""Largest payload of one frame; bounds the memory that a faulty peer can use up."""
 
 _HEADER = struct.Struct(">IBBI")
 HEADER_BYTES = _HEADER.size
 
 
 class Protocol(IntEnum):
-    """The conversation that a frame belongs to."""
+    """The protocol that a frame belongs to."""
 
     AGREEMENT = 1
     LEASE = 2
@@ -28,7 +28,7 @@
 
 
 class Flag(IntEnum):
-    """The direction of a frame, and whether the handler failed."""
+    """Whether a frame is a request, a response or a failure of the handler."""
 
     REQUEST = 0
     RESPONSE = 1
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Header:
-    """The fixed part of a frame."""
+    """The decoded header of a frame, which has a fixed size."""
 
     n_payload_bytes: int
     protocol: Protocol
@@ -48,7 +48,7 @@
 def encode_frame(
     protocol: Protocol, flag: Flag, request_id: int, payload: bytes
 ) -> bytes:
-    """Return one frame as bytes; raise ValueError for an oversized payload."""
+    """Return the encoded frame; raise ValueError for an oversized payload."""
     if len(payload) > MAX_PAYLOAD_BYTES:
         raise ValueError(
             f"expected a payload of at most {MAX_PAYLOAD_BYTES} bytes, "
@@ -58,10 +58,13 @@
 
 
 def decode_header(data: bytes) -> Result[Header, Failure]:
-    """Read a frame header; a malformed one gives ``BAD_FRAME``."""
+    """Decode a frame header; a malformed header gives ``BAD_FRAME``."""
     n_payload_bytes, protocol, flag, request_id = _HEADER.unpack(data)
     if n_payload_bytes > MAX_PAYLOAD_BYTES:
-        detail = f"payload of {n_payload_bytes} bytes, at most {MAX_PAYLOAD_BYTES}"
+        detail = (
+            f"payload of {n_payload_bytes} bytes exceeds the limit of "
+            f"{MAX_PAYLOAD_BYTES} bytes"
+        )
         return Error(Failure(ErrorKind.BAD_FRAME, detail))
     try:
         header = Header(n_payload_bytes, Protocol(protocol), Flag(flag), request_id)
--- a/pollenfold/wire/lease.capnp
+++ b/pollenfold/wire/lease.capnp
@@ -26,19 +26,19 @@
 
 struct LeaseRequest {
   entry @0 :LiveEntry;
-  # The revision that is in force at the entry.
+  # The configuration revision that is in force at the entry.
   acknowledged @1 :UInt64;
-  # Records after this revision are wanted; at least as high as acknowledged.
+  # The entry requests the records after this revision; not below acknowledged.
   cursor @2 :UInt64;
   directoryRevision @3 :UInt64;
-  # The leader that noticeSequence belongs to.
+  # The epoch of the leader that assigned noticeSequence.
   epoch @4 :UInt64;
   noticeSequence @5 :UInt64;
   notices @6 :List(LeaveNotice);
-  # How long the leader may wait for news before it responds.
+  # How long the leader may wait for updates before it responds.
   waitMs @7 :Float64;
   holdsLease @8 :Bool;
-  # True once a peer entry passed the request on; it is passed on only once.
+  # True when a peer entry forwarded the request; it is forwarded only once.
   isForwarded @9 :Bool;
 }
 
@@ -46,19 +46,19 @@
   # Error kind, empty when the lease is granted.
   error @0 :Text;
   detail @1 :Text;
-  # Peer address of the leader, with not_leader; the port is 0 when it is unknown.
+  # Peer address of the leader with the error not_leader; port 0 when it is unknown.
   leaderHost @2 :Text;
   leaderPort @3 :UInt16;
   leaseMs @4 :Float64;
   epoch @5 :UInt64;
-  # The leader's revision.
+  # The newest configuration revision of the leader.
   revision @6 :UInt64;
   records @7 :List(Record);
-  # Records up to this revision are included; below revision when more follow.
+  # The last revision included in records; below revision when more follow.
   cursor @8 :UInt64;
-  # 0 while the leader doesn't know all leases of its predecessor.
+  # 0 until the leader knows all leases that its predecessor granted.
   directoryRevision @9 :UInt64;
-  # Empty when the entry has this directory revision already.
+  # Empty when the entry already has this directory revision.
   directory @10 :List(LiveEntry);
   noticeSequence @11 :UInt64;
   notices @12 :List(LeaveNotice);
--- a/pollenfold/wire/lease.py
+++ b/pollenfold/wire/lease.py
@@ -1,4 +1,4 @@
-"""Messages of the lease protocol as data classes, encoded with capnp."""
+"""Data classes of the lease protocol, and their encoding with Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """An entry asks the control leader for a lease; see ``lease.capnp``."""
+    """Request of an entry to the control leader for a lease; see ``lease.capnp``."""
 
     entry: LiveEntry
     acknowledged: int
@@ -39,9 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseResponse:
-    """The response to a lease request; ``error`` is None when it is granted.
+    """The response to a lease request; ``error`` is None when the lease is granted.
 
-    ``records`` are pairs of revision and record.
+    ``records`` holds pairs of a revision and its encoded record.
     """
 
     error: ErrorKind | None = None
@@ -59,7 +59,7 @@
 
 
 def encode_request(request: LeaseRequest) -> bytes:
-    """Return the request as bytes."""
+    """Return the encoded request."""
     message = load_schema("lease").LeaseRequest.new_message(
         entry=_entry_fields(request.entry),
         acknowledged=request.acknowledged,
@@ -76,7 +76,7 @@
 
 
 def decode_request(data: bytes) -> Result[LeaseRequest, Failure]:
-    """Read a request; malformed bytes give ``BAD_FRAME``."""
+    """Decode a request; malformed bytes give ``BAD_FRAME``."""
     schema = load_schema("lease").LeaseRequest
     try:
         with schema.from_bytes(
@@ -101,7 +101,7 @@
 
 
 def encode_response(response: LeaseResponse) -> bytes:
-    """Return the response as bytes."""
+    """Return the encoded response."""
     host, port = response.leader or ("", 0)
     message = load_schema("lease").LeaseResponse.new_message(
         error=response.error.value if response.error else "",
@@ -124,7 +124,7 @@
 
 
 def decode_response(data: bytes) -> Result[LeaseResponse, Failure]:
-    """Read a response; malformed bytes or an unknown kind give ``BAD_FRAME``."""
+    """Decode a response; malformed bytes or an unknown error give ``BAD_FRAME``."""
     schema = load_schema("lease").LeaseResponse
     try:
         with schema.from_bytes(
--- a/pollenfold/wire/ledger.py
+++ b/pollenfold/wire/ledger.py
@@ -1,6 +1,6 @@
-"""Encodes and decodes the messages of the ledger and its journal entries.
+"""Encodes and decodes the messages and the journal entries of the ledger.
 
-Decoding raises ``ValueError`` for bytes that are no such message.
+The decoding functions raise ``ValueError`` for malformed bytes.
 """
 
 from __future__ import annotations
@@ -42,24 +42,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """Asks for the register without changing it."""
+    """Requests the register of a key without changing it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Unresolved:
-    """Asks for the keys of claims without an outcome, ``limit`` at most."""
+    """Requests the keys of claims without an outcome, at most ``limit`` of them."""
 
     limit: int
 
 
 @dataclass(frozen=True, slots=True)
 class StatusRequest:
-    """Asks a replica who it is and whether it may vote."""
+    """Requests the incarnation of a replica and whether it may vote."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fence:
-    """Announces the epoch of a replica that lost its disk, before it copies."""
+    """Announces the new epoch of a replica that lost its disk.
+
+    The replica sends it before it copies the registers of the receiver.
+    """
 
     replica_id: str
     epoch: int
@@ -67,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PageRequest:
-    """Asks for the registers from ``offset`` on, as listed at the fence."""
+    """Requests the registers from ``offset`` on, in the key order of the fence."""
 
     replica_id: str
     epoch: int
@@ -76,9 +79,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """The answer to ``StatusRequest``.
+    """The response to ``StatusRequest``.
 
-    ``founders`` has the incarnations of all replicas that formed a new cluster.
+    ``founders`` holds the incarnations of the replicas that formed the cluster.
     """
 
     incarnation: str
@@ -88,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Some of the registers of a replica, each with its key and its age in ms."""
+    """A page of the registers of a replica, each with its key and its age in ms."""
 
     registers: tuple[tuple[str, Register, float], ...]
     next_offset: int
@@ -101,7 +104,7 @@
 
 
 def encode_request(key: str, request: Request) -> bytes:
-    """Return a request as bytes; ``key`` is empty when it concerns no key."""
+    """Return the encoded request; ``key`` is empty for requests without a key."""
     message = load_schema("ledger").Request.new_message(key=key)
     match request:
         case Claim(claim_id):
@@ -132,7 +135,7 @@
 
 def decode_request(data: bytes) -> tuple[str, Request]:
     """Return the key and the request."""
-    with _decoded("Request", data) as message:
+    with _open_message("Request", data) as message:
         return message.key, _read_request(message)
 
 
@@ -141,10 +144,10 @@
         case "claim":
             return Claim(message.claim)
         case "prepare":
-            return Prepare(_ballot(message.prepare))
+            return Prepare(_read_ballot(message.prepare))
         case "accept":
             accept = message.accept
-            return Accept(_ballot(accept.ballot), _value(accept.value))
+            return Accept(_read_ballot(accept.ballot), _read_value(accept.value))
         case "read":
             return Read()
         case "unresolved":
@@ -158,10 +161,10 @@
 
 
 def encode_response(epochs: Epochs, body: Body) -> bytes:
-    """Return a response as bytes.
+    """Return the encoded response.
 
-    The register of a granted claim or accept is best left blank: the claimant knows
-    it, and it may hold a whole outcome.
+    Leave the register blank in the reply to a granted claim or accept: the claimant
+    knows its value, which may hold a complete outcome.
     """
     message = load_schema("ledger").Response.new_message(epochs=epochs)
     match body:
@@ -193,8 +196,8 @@
 
 
 def decode_response(data: bytes) -> tuple[Epochs, Body]:
-    """Return the epochs that the replica knows, and the body of its response."""
-    with _decoded("Response", data) as message:
+    """Return the epochs known to the replica, and the body of its response."""
+    with _open_message("Response", data) as message:
         epochs = tuple(message.epochs)
         return epochs, _read_body(message, epochs)
 
@@ -205,7 +208,7 @@
             reply = message.reply
             register = BLANK_REGISTER
             if reply._has("register"):
-                register = _register(reply.register)
+                register = _read_register(reply.register)
             return Reply(reply.isGranted, register, reply.ageMs, epochs)
         case "keys":
             return tuple(message.keys)
@@ -216,7 +219,7 @@
         case "page":
             page = message.page
             registers = tuple(
-                (entry.key, _register(entry.register), entry.ageMs)
+                (entry.key, _read_register(entry.register), entry.ageMs)
                 for entry in page.registers
             )
             return Page(registers, page.nextOffset, page.isLast)
@@ -245,33 +248,33 @@
 
 def decode_entry(data: bytes) -> tuple[str, Register] | Epochs | list[str]:
     """Return a register with its key, the epochs, or the list of founders."""
-    with _decoded("JournalEntry", data) as message:
+    with _open_message("JournalEntry", data) as message:
         match message.which():
             case "register":
                 entry = message.register
-                return entry.key, _register(entry.register)
+                return entry.key, _read_register(entry.register)
             case "epochs":
                 return tuple(message.epochs)
         return list(message.founders)
 
 
 @contextmanager
-def _decoded(struct: str, data: bytes) -> Iterator[Any]:
-    schema = getattr(load_schema("ledger"), struct)
+def _open_message(struct_name: str, data: bytes) -> Iterator[Any]:
+    schema = getattr(load_schema("ledger"), struct_name)
     try:
         with schema.from_bytes(
             data, traversal_limit_in_words=MAX_TRAVERSAL_WORDS
         ) as message:
             yield message
     except (capnp.KjException, UnicodeDecodeError, KeyError) as error:
-        raise ValueError(f"expected a ledger {struct}, got {error}") from error
+        raise ValueError(f"expected a ledger {struct_name}, got {error}") from error
 
 
 def _set_ballot(message: Any, ballot: Ballot) -> None:
     message.round, message.proposer = ballot
 
 
-def _ballot(message: Any) -> Ballot:
+def _read_ballot(message: Any) -> Ballot:
     return message.round, message.proposer
 
 
@@ -289,15 +292,15 @@
             field.value = content
 
 
-def _value(message: Any) -> Value:
+def _read_value(message: Any) -> Value:
     state = _STATES[str(message.state)]
     if state is State.EMPTY:
         return EMPTY
     outcome = None
     if state is State.COMPLETED:
-        source = message.outcome
-        headers = tuple((field.name, field.value) for field in source.headers)
-        outcome = Outcome(source.status, headers, source.body)
+        outcome_reader = message.outcome
+        headers = tuple((field.name, field.value) for field in outcome_reader.headers)
+        outcome = Outcome(outcome_reader.status, headers, outcome_reader.body)
     return Value(state, tuple(message.claimIds), outcome, message.isOpen)
 
 
@@ -312,12 +315,12 @@
     message.promisedAtMs = register.promised_at
 
 
-def _register(message: Any) -> Register:
+def _read_register(message: Any) -> Register:
     has = message._has
     return Register(
-        _ballot(message.promised) if has("promised") else OPEN_BALLOT,
-        _ballot(message.accepted) if has("accepted") else OPEN_BALLOT,
-        _value(message.value),
+        _read_ballot(message.promised) if has("promised") else OPEN_BALLOT,
+        _read_ballot(message.accepted) if has("accepted") else OPEN_BALLOT,
+        _read_value(message.value),
         message.isVoteUnknown,
         Instant(message.changedAtMs),
         Instant(message.promisedAtMs),
--- a/pollenfold/wire/lines.py
+++ b/pollenfold/wire/lines.py
@@ -1,7 +1,7 @@
-"""JSON lines over a connection, for streams that one side pushes to many.
+"""JSON lines over a connection, for streams that one process sends to many.
 
-Entries hold many such streams and are small, which is why they carry JSON of the
-standard library: a schema library would take a quarter of an entry's memory.
+The format is JSON because entries hold many such streams and use little memory: a
+schema library would take a quarter of the memory of an entry.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class BadLineError(OSError):
-    """A line that isn't a JSON object, or is too long; it ends the connection."""
+    """A line that isn't a JSON object or is too long; the connection must be closed."""
 
 
 def encode_line(message: dict[str, Any]) -> bytes:
@@ -29,20 +29,20 @@
 async def read_lines(
     sock: socket.socket, idle_timeout_ms: Callable[[], float]
 ) -> AsyncIterator[dict[str, Any]]:
-    """Yield each message until the peer closes.
+    """Yield each message until the peer closes the connection.
 
-    ``idle_timeout_ms`` is asked before each read, since it may change meanwhile.
-    Raise OSError when the connection breaks or nothing came for the timeout, and
-    BadLineError for a malformed line.
+    ``idle_timeout_ms`` is called before each read, since the timeout may change.
+    Raise OSError when the connection fails or nothing is received within the
+    timeout, and BadLineError for a malformed line.
     """
     buffer = bytearray()
     while True:
-        limit_ms = idle_timeout_ms()
+        timeout_ms = idle_timeout_ms()
         try:
-            async with curio.timeout_after(limit_ms / 1000):
+            async with curio.timeout_after(timeout_ms / 1000):
                 data = await sock.recv(_READ_BYTES)
         except curio.TaskTimeout:
-            raise TimeoutError(f"nothing received for {limit_ms} ms") from None
+            raise TimeoutError(f"no data received for {timeout_ms} ms") from None
         if not data:
             return
         buffer += data
@@ -51,14 +51,14 @@
             del buffer[: end + 1]
             yield _decode_line(line)
         if len(buffer) > MAX_LINE_BYTES:
-            raise BadLineError(f"a line of more than {MAX_LINE_BYTES} bytes")
+            raise BadLineError(f"expected a line of at most {MAX_LINE_BYTES} bytes")
 
 
 def _decode_line(line: bytes) -> dict[str, Any]:
     try:
         message = json.loads(line)
     except (ValueError, RecursionError) as error:
-        raise BadLineError(f"expected JSON, got {line[:40]!r}") from error
+        raise BadLineError(f"expected a line of JSON, got {line[:40]!r}") from error
     if not isinstance(message, dict):
-        raise BadLineError(f"expected an object, got {line[:40]!r}")
+        raise BadLineError(f"expected a JSON object, got {line[:40]!r}")
     return message
--- a/pollenfold/wire/membership.capnp
+++ b/pollenfold/wire/membership.capnp
@@ -1,6 +1,6 @@
 @0xb7d1c6a2f0e94c13;
 
-# Messages between entries about the endpoint table.
+# Messages with which entries synchronize their endpoint tables.
 
 struct Endpoint {
   service @0 :Text;
@@ -16,21 +16,21 @@
   isWarm @10 :Bool;
   warmEpoch @11 :UInt32;
   warmZoneVersion @12 :UInt32;
-  # Time since the counter grew or the leave became known, at the sender.
+  # Time since the sender learned of the last heartbeat increase or of the leave.
   ageMs @13 :UInt32;
 }
 
 struct Digest {
   # One little-endian u64 for each bucket.
   fingerprints @0 :Data;
-  # One u16 for each bucket: its number of counters.
+  # One u16 for each bucket: its number of heartbeat counters.
   sizes @1 :Data;
-  # The low 16 bits of the counters, bucket after bucket.
+  # The low 16 bits of the heartbeat counters, in the order of the buckets.
   heartbeats @2 :Data;
 }
 
 struct Difference {
-  # One bit for each bucket that differs.
+  # Bit mask of the buckets that differ.
   buckets @0 :UInt64;
   entries @1 :List(Endpoint);
   sizes @2 :Data;
@@ -39,9 +39,9 @@
 
 struct Copy {
   entries @0 :List(Endpoint);
-  # The bucket to ask for next, or 64 at the end.
+  # The bucket to request next, or 64 at the end of the table.
   nextBucket @1 :UInt16;
-  # Whether the sender has its own copy complete.
+  # Whether the sender has a complete copy of the table.
   isReady @2 :Bool;
 }
 
--- a/pollenfold/wire/membership.py
+++ b/pollenfold/wire/membership.py
@@ -1,4 +1,4 @@
-"""Encoding of the messages between entries about the endpoint table."""
+"""Encodes and decodes the messages that synchronize the endpoint table of entries."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 from .schemas import MAX_TRAVERSAL_WORDS, load_schema
 
 MAX_ENTRIES = 2500
-"""Greatest number of endpoints in one message; keeps it under the frame limit."""
+"""Largest number of endpoints in one message; keeps it below the frame limit."""
 
 MAX_TEXT_BYTES = 128
-"""Greatest length of a service, host or zone name."""
+"""Largest length of a service, host or zone name."""
 
 _MAX_U32 = 0xFFFFFFFF
 
@@ -38,14 +38,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CopyRequest:
-    """Asks for a copy of the table, from one bucket on."""
+    """Requests a copy of the table, starting at a bucket."""
 
     from_bucket: int
 
 
 @dataclass(frozen=True, slots=True)
 class Copy:
-    """One part of a copy; ``next_bucket`` is the number of buckets at the end."""
+    """One page of a copy of the table.
+
+    ``next_bucket`` is the number of buckets after the last page.
+    """
 
     entries: tuple[AgedEndpoint, ...]
     next_bucket: int
@@ -57,7 +60,7 @@
 
 
 def encode_request(request: Request) -> bytes:
-    """Return a request as bytes."""
+    """Return the encoded request."""
     message = load_schema("membership").Request.new_message()
     if isinstance(request, Push):
         _write_entries(message.init("push", len(request.entries)), request.entries)
@@ -71,9 +74,9 @@
 
 
 def decode_request(data: bytes) -> Request:
-    """Read a request; raise ValueError when it is malformed."""
+    """Decode a request; raise ValueError when it is malformed."""
     try:
-        with _open(load_schema("membership").Request, data) as message:
+        with _open_message(load_schema("membership").Request, data) as message:
             which = str(message.which())
             if which == "push":
                 return Push(_read_entries(message.push))
@@ -87,7 +90,7 @@
 
 
 def encode_response(response: Response) -> bytes:
-    """Return a response as bytes; None acknowledges a push."""
+    """Return the encoded response; None acknowledges a push."""
     message = load_schema("membership").Response.new_message()
     if isinstance(response, Difference):
         difference = message.init("difference")
@@ -106,9 +109,9 @@
 
 
 def decode_response(data: bytes) -> Response:
-    """Read a response; raise ValueError when it is malformed."""
+    """Decode a response; raise ValueError when it is malformed."""
     try:
-        with _open(load_schema("membership").Response, data) as message:
+        with _open_message(load_schema("membership").Response, data) as message:
             which = str(message.which())
             if which == "difference":
                 return _read_difference(message.difference)
@@ -121,7 +124,7 @@
         raise ValueError(f"malformed membership response: {error}") from error
 
 
-def _open(schema: Any, data: bytes) -> Any:
+def _open_message(schema: Any, data: bytes) -> Any:
     return schema.from_bytes(data, traversal_limit_in_words=MAX_TRAVERSAL_WORDS)
 
 
@@ -158,10 +161,10 @@
 
 
 def _read_entry(item: Any) -> AgedEndpoint:
-    texts = (item.service, item.host, item.zone)
-    if not item.service or not item.host or max(map(len, texts)) > MAX_TEXT_BYTES:
+    names = (item.service, item.host, item.zone)
+    if not item.service or not item.host or max(map(len, names)) > MAX_TEXT_BYTES:
         raise ValueError(
-            f"expected names of 1 to {MAX_TEXT_BYTES} bytes, got {texts!r:.200}"
+            f"expected names of 1 to {MAX_TEXT_BYTES} bytes, got {names!r:.200}"
         )
     warm = WarmState(item.warmEpoch, item.isWarm, item.warmZoneVersion)
     endpoint = Endpoint(
@@ -188,7 +191,9 @@
 
 def _write_heartbeats(target: Any, heartbeats: Sequence[Sequence[int]]) -> None:
     target.sizes = _pack("H", [len(bucket) for bucket in heartbeats])
-    target.heartbeats = _pack("H", [low for bucket in heartbeats for low in bucket])
+    target.heartbeats = _pack(
+        "H", [counter for bucket in heartbeats for counter in bucket]
+    )
 
 
 def _read_heartbeats(source: Any, n_buckets: int) -> tuple[tuple[int, ...], ...]:
@@ -202,15 +207,15 @@
     return tuple(result)
 
 
-def _pack(code: str, values: Iterable[int]) -> bytes:
-    packed = array(code, values)
+def _pack(type_code: str, values: Iterable[int]) -> bytes:
+    packed = array(type_code, values)
     if sys.byteorder == "big":
         packed.byteswap()
     return packed.tobytes()
 
 
-def _unpack(code: str, data: bytes, n_values: int) -> array[int]:
-    packed = array(code)
+def _unpack(type_code: str, data: bytes, n_values: int) -> array[int]:
+    packed = array(type_code)
     if len(data) != n_values * packed.itemsize:
         raise ValueError(
             f"expected {n_values * packed.itemsize} bytes, got {len(data)}"
--- a/pollenfold/wire/rpc.py
+++ b/pollenfold/wire/rpc.py
@@ -1,4 +1,4 @@
-"""Request and response over one multiplexed TCP connection for each peer."""
+"""RPC between processes over one multiplexed TCP connection for each peer."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .frames import HEADER_BYTES, Flag, Header, Protocol, decode_header, encode_frame
 
 Handler = Callable[[bytes], Awaitable[bytes]]
-"""Takes a request payload and returns the response payload."""
+"""Processes a request payload and returns the response payload."""
 
 
 async def _receive_exactly(sock: socket.socket, n_bytes: int) -> bytes | None:
@@ -32,28 +32,28 @@
 async def receive_frame(
     sock: socket.socket,
 ) -> Result[tuple[Header, bytes], Failure]:
-    """Read one frame.
+    """Receive one frame.
 
     A closed connection gives ``UNREACHABLE`` and a malformed frame ``BAD_FRAME``.
     """
-    head = await _receive_exactly(sock, HEADER_BYTES)
-    if head is None:
+    header_bytes = await _receive_exactly(sock, HEADER_BYTES)
+    if header_bytes is None:
         return Error(Failure(ErrorKind.UNREACHABLE, "connection closed"))
-    header = decode_header(head)
+    header = decode_header(header_bytes)
     if header.is_error():
         return Error(header.error)
     payload = await _receive_exactly(sock, header.ok.n_payload_bytes)
     if payload is None:
-        return Error(Failure(ErrorKind.UNREACHABLE, "connection closed in a frame"))
+        return Error(Failure(ErrorKind.UNREACHABLE, "connection closed within a frame"))
     return Ok((header.ok, payload))
 
 
 class RpcServer:
-    """Answers requests of other processes of the system.
+    """Handles requests from other processes of the system.
 
-    ``handlers`` maps a protocol to the coroutine that answers it. A request for a
-    protocol without a handler, or one whose handler raises, gets an error frame; a
-    malformed frame closes the connection.
+    ``handlers`` maps a protocol to the coroutine function that handles its requests.
+    The response is an error frame when the protocol has no handler or the handler
+    raises an exception. A malformed frame closes the connection.
     """
 
     def __init__(self, handlers: dict[Protocol, Handler]) -> None:
@@ -64,10 +64,10 @@
         await curio.tcp_server(host, port, self.handle, reuse_address=True)
 
     async def handle(self, client: socket.socket, address: tuple[str, int]) -> None:
-        """Answer every request of one connection."""
+        """Handle all requests of one connection concurrently."""
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         write_lock = curio.Lock()
-        # A task group would keep every finished task until the connection ends.
+        # A task group would hold every finished task until the connection ends.
         tasks: set[curio.Task] = set()
         try:
             while True:
@@ -84,7 +84,12 @@
                         )
                     return
                 task = await curio.spawn(
-                    self._run_task, tasks, client, write_lock, *frame.ok, daemon=True
+                    self._run_request_task,
+                    tasks,
+                    client,
+                    write_lock,
+                    *frame.ok,
+                    daemon=True,
                 )
                 if not task.terminated:
                     tasks.add(task)
@@ -92,7 +97,7 @@
             for task in list(tasks):
                 await task.cancel()
 
-    async def _run_task(
+    async def _run_request_task(
         self,
         tasks: set[curio.Task],
         client: socket.socket,
@@ -115,10 +120,10 @@
         handler = self._handlers.get(header.protocol)
         try:
             if handler is None:
-                raise LookupError(f"no handler for {header.protocol.name}")
-            body = await handler(payload)
+                raise LookupError(f"no handler for protocol {header.protocol.name}")
+            response_payload = await handler(payload)
             frame = encode_frame(
-                header.protocol, Flag.RESPONSE, header.request_id, body
+                header.protocol, Flag.RESPONSE, header.request_id, response_payload
             )
         except curio.CancelledError:
             raise
@@ -135,7 +140,7 @@
 
 
 class _PendingCall:
-    """The response of one call, set once; None stands for a failure."""
+    """The response to one call, set at most once; None means that the call failed."""
 
     __slots__ = ("_event", "_body")
 
@@ -154,20 +159,20 @@
 
 
 class RpcClient:
-    """Calls one peer over one connection, which is opened again on demand.
+    """Calls one peer over one connection, which is opened and reopened on demand.
 
     For example, ``await RpcClient("127.0.0.1", 7000).call(Protocol.LEASE, b"", 50)``
-    gives ``Ok(bytes)``, or ``Error(ErrorKind.UNREACHABLE)`` after 50 ms at most.
+    returns ``Ok(bytes)``, or ``Error(ErrorKind.UNREACHABLE)`` after at most 50 ms.
     """
 
     def __init__(self, host: str, port: int) -> None:
         self.host = host
         self.port = port
         self._sock: socket.socket | None = None
-        self._reader: curio.Task | None = None
+        self._receive_task: curio.Task | None = None
         self._connect_lock = curio.Lock()
         self._write_lock = curio.Lock()
-        self._waiting: dict[int, _PendingCall] = {}
+        self._pending_calls: dict[int, _PendingCall] = {}
         self._next_id = 0
 
     async def call(
@@ -181,12 +186,12 @@
         self._next_id = (self._next_id + 1) & 0xFFFFFFFF
         request_id = self._next_id
         pending = _PendingCall()
-        self._waiting[request_id] = pending
+        self._pending_calls[request_id] = pending
         try:
             async with curio.timeout_after(timeout_ms / 1000):
                 frame = encode_frame(protocol, Flag.REQUEST, request_id, payload)
                 async with self._write_lock:
-                    await self._send(await self._connected(), frame)
+                    await self._send(await self._ensure_connected(), frame)
                 body = await pending.get()
         except curio.TaskTimeout:
             return Error(ErrorKind.UNREACHABLE)
@@ -194,44 +199,46 @@
             await self._disconnect()
             return Error(ErrorKind.UNREACHABLE)
         finally:
-            self._waiting.pop(request_id, None)
+            self._pending_calls.pop(request_id, None)
         return Error(ErrorKind.UNREACHABLE) if body is None else Ok(body)
 
     async def close(self) -> None:
         """Close the connection; calls in progress give ``UNREACHABLE``."""
         await self._disconnect()
 
-    async def _connected(self) -> socket.socket:
+    async def _ensure_connected(self) -> socket.socket:
         async with self._connect_lock:
             if self._sock is None:
                 sock = await open_connection(self.host, self.port)
                 self._sock = sock
-                self._reader = await curio.spawn(self._read, sock, daemon=True)
+                self._receive_task = await curio.spawn(
+                    self._receive_responses, sock, daemon=True
+                )
             return self._sock
 
     async def _send(self, sock: socket.socket, frame: bytes) -> None:
         try:
             await sock.sendall(frame)
         except curio.CancelledError:
-            # Part of the frame may be sent: the peer would read the next frame as
-            # the rest of this one.
+            # The frame may be partly sent; the peer would read the start of the
+            # next frame as the remainder of this one.
             if self._sock is sock:
                 await self._disconnect()
             raise
 
     async def _disconnect(self) -> None:
-        sock, reader = self._sock, self._reader
+        sock, receive_task = self._sock, self._receive_task
         self._sock = None
-        self._reader = None
-        # curio fails when a socket is closed while another task waits for it.
-        if reader is not None and reader is not await curio.current_task():
-            await reader.cancel()
+        self._receive_task = None
+        # curio raises an error when a socket is closed while another task waits on it.
+        if receive_task is not None and receive_task is not await curio.current_task():
+            await receive_task.cancel()
         if sock is not None:
             await sock.close()
-        for pending in list(self._waiting.values()):
+        for pending in list(self._pending_calls.values()):
             await pending.set(None)
 
-    async def _read(self, sock: socket.socket) -> None:
+    async def _receive_responses(self, sock: socket.socket) -> None:
         while True:
             try:
                 frame = await receive_frame(sock)
@@ -240,7 +247,7 @@
             if frame.is_error():
                 break
             header, payload = frame.ok
-            pending = self._waiting.get(header.request_id)
+            pending = self._pending_calls.get(header.request_id)
             if pending is not None:
                 await pending.set(payload if header.flag is Flag.RESPONSE else None)
         if self._sock is sock:
--- a/pollenfold/wire/schemas.py
+++ b/pollenfold/wire/schemas.py
@@ -1,4 +1,4 @@
-"""Loads the capnp schemas of the system's messages when a module needs them."""
+"""Loads the Cap'n Proto schemas of the messages between processes on first use."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 import capnp
 
 MAX_TRAVERSAL_WORDS = 1 << 18
-"""Bounds what one message may claim to contain: 2 MiB, twice the largest frame."""
+"""Limits the data that one message may make a reader traverse: 2 MiB, twice the
+largest frame."""
 
 
 @cache
