--- a/pollenfold/ledger/daemon.py
+++ b/pollenfold/ledger/daemon.py
@@ -1,4 +1,4 @@
-"""The ledger daemon: one replica that listens on its peer port."""
+"""The ledger daemon, which runs one replica and listens on its peer port."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def wall_clock() -> Instant:
-    """Return the time of day in milliseconds, for ages that outlive the process."""
+    """Return the system time in milliseconds, for ages that must survive a restart."""
     return Instant(time.time() * 1000)
 
 
@@ -27,7 +27,7 @@
     """Serve one ledger replica until SIGTERM.
 
     Raise ValueError when the data folder belongs to another replica, and OSError
-    when it can't be written or the address is taken.
+    when the folder is not writable or the address is in use.
     """
     others = dict(settings.peers)
     port = others.pop(settings.replica_id)[1]
@@ -46,6 +46,6 @@
         await group.spawn(curio.network.run_server, sock, server.handle)
         await group.spawn(replica.run)
     await replica.close()
-    # Raises what ended the first task, unless it was the signal.
+    # Raises the exception of the task that ended first, unless SIGTERM ended it.
     _ = group.result
     logger.info("event=ledger_stopped replica={}", settings.replica_id)
--- a/pollenfold/tests/ledger/test_replica.py
+++ b/pollenfold/tests/ledger/test_replica.py
@@ -1,4 +1,4 @@
-"""Ledger replicas and clients on loopback, with lost replicas, disks and writes."""
+"""Ledger replicas and clients on loopback; replicas, disks and writes are lost."""
 
 import os
 import signal
@@ -45,7 +45,7 @@
 
 @pytest.fixture
 def run_ledger(run, tmp_path):
-    """Return a function that runs a coroutine function with three replicas."""
+    """Return a function that runs a coroutine function with a ledger of replicas."""
 
     def run_with_ledger(function, n_replicas=3):
         async def main():
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("n_replicas", [3, 5])
 def test_one_of_two_clients_claims_a_key(run_ledger, n_replicas):
-    """Guards against two entries that dispatch the same key."""
+    """Guards against two entries that both dispatch the request of a key."""
 
     async def main(ledger):
         clients = [ledger.client("entry-1"), ledger.client("entry-2")]
@@ -75,9 +75,9 @@
 
 
 @pytest.mark.parametrize("is_suspended", [True, False])
-def test_one_silent_replica_changes_no_answer(run_ledger, is_suspended):
-    """Guards against one suspended or isolated replica that stops requests, or that
-    lets a key run again when it is back with its old state."""
+def test_one_unresponsive_replica_changes_no_result(run_ledger, is_suspended):
+    """Guards against one suspended or isolated replica that blocks requests, or that
+    permits a second execution when it returns with an old state."""
 
     async def main(ledger):
         first, second = ledger.client("entry-1"), ledger.client("entry-2")
@@ -94,9 +94,9 @@
     run_ledger(main)
 
 
-def test_second_loss_right_after_a_lost_disk(run_ledger):
-    """Guards against a key that runs again because the replicas that held its claim
-    lost their disks one after the other."""
+def test_two_disks_lost_in_succession_keep_the_claims(run_ledger):
+    """Guards against a second execution for a key after the replicas that stored its
+    claim have lost their disks one after the other."""
 
     async def main(ledger):
         ledger.isolate("c")
@@ -108,18 +108,18 @@
         for name in ("a", "b"):
             await ledger.lose_disk(name)
             assert await ledger.join(name)
-        resend = ledger.client("entry-2")
-        answer = await resend.claim("claimed", "d1", TIMEOUT_MS)
-        assert answer == InProgress()
-        answer = await resend.claim("completed", "d2", TIMEOUT_MS)
-        assert answer == Completed(OUTCOME)
+        retrying_client = ledger.client("entry-2")
+        result = await retrying_client.claim("claimed", "d1", TIMEOUT_MS)
+        assert result == InProgress()
+        result = await retrying_client.claim("completed", "d2", TIMEOUT_MS)
+        assert result == Completed(OUTCOME)
 
     run_ledger(main)
 
 
 def test_blank_replica_waits_for_enough_others(run_ledger):
     """Guards against a blank replica that votes before it copied n - majority + 1
-    others: the only copy of a vote may be on the one it could not reach."""
+    others: the only copy of a vote may be on a replica that it could not reach."""
 
     async def main(ledger):
         client = ledger.client("entry-1")
@@ -136,33 +136,33 @@
     run_ledger(main)
 
 
-def test_vote_from_before_a_lost_disk_is_dropped(run_ledger):
-    """Guards against a claim that counts the vote of a lost disk together with a
-    vote given after the replica had returned without it."""
+def test_vote_from_before_a_lost_disk_is_not_counted(run_ledger):
+    """Guards against a claim that counts a vote from before a disk was lost together
+    with a vote granted after the replica rejoined without that vote."""
 
     async def main(ledger):
         ledger.suspend("b")
         ledger.isolate("c")
         slow = ledger.client("entry-1")
-        before = dict(ledger.n_received)
+        n_received_before = dict(ledger.n_received)
         claim = await curio.spawn(slow.claim, "key", "c", TIMEOUT_MS)
         while not len(ledger.replicas["a"].store) or any(
-            ledger.n_received[name] == before[name] for name in "bc"
+            ledger.n_received[name] == n_received_before[name] for name in "bc"
         ):
             await curio.sleep(0.001)
-        late = await ledger.delay_kept("b")
+        delayed_requests = await ledger.delay_kept("b")
         ledger.reconnect("c")
         await ledger.lose_disk("a")
         assert await ledger.join("a")
-        await late.set()
+        await delayed_requests.set()
         assert await claim.join() == Unavailable()
 
     run_ledger(main)
 
 
-def test_slow_founder_asks_enough_others(run, tmp_path):
+def test_late_founder_waits_for_enough_others(run, tmp_path):
     """Guards against a cluster that never forms, and against a founder that votes
-    without the epochs announced before it joined."""
+    without the epochs that were announced before it joined."""
 
     async def main():
         async with LocalLedger(tmp_path, 3, is_joined=False) as ledger:
@@ -179,20 +179,20 @@
     run(main)
 
 
-def test_copy_takes_an_epoch_announced_meanwhile(run_ledger):
-    """Guards against a vote of a replica that copied another one before it knew the
-    new epoch of a third one."""
+def test_copy_includes_an_epoch_announced_during_the_copy(run_ledger):
+    """Guards against a replica that votes without the new epoch of a third one, which
+    its peer accepted between the status request and the copy."""
 
     async def main(ledger):
         await ledger.lose_disk("a")
-        served = ledger.replicas["b"].answer
+        original_answer = ledger.replicas["b"].answer
         fence = encode_request("", Fence("c", 2))
 
         async def announce_before_pages(payload):
             if isinstance(decode_request(payload)[1], PageRequest):
-                ledger.replicas["b"].answer = served
-                await served(fence)
-            return await served(payload)
+                ledger.replicas["b"].answer = original_answer
+                await original_answer(fence)
+            return await original_answer(payload)
 
         ledger.replicas["b"].answer = announce_before_pages
         assert await ledger.join("a")
@@ -202,8 +202,8 @@
 
 
 def test_restart_with_a_torn_journal_entry(run_ledger):
-    """Guards against an acknowledged claim that a crash during the next write takes
-    back."""
+    """Guards against the loss of an acknowledged claim by a crash during the next
+    write, which leaves a partial journal entry."""
 
     async def main(ledger):
         client = ledger.client("entry-1")
@@ -215,8 +215,8 @@
     run_ledger(main)
 
 
-def test_replica_with_a_failed_disk_is_silent(run_ledger):
-    """Guards against an answer from a replica whose last write may be lost."""
+def test_replica_with_a_failed_disk_does_not_respond(run_ledger):
+    """Guards against a response from a replica whose last write may be lost."""
 
     async def main(ledger):
         client = ledger.client("entry-1")
@@ -231,9 +231,9 @@
     run_ledger(main)
 
 
-def test_large_copy_fits_the_frames(run_ledger):
-    """Guards against a blank replica that can't return because the registers of the
-    others are larger than a frame."""
+def test_large_copy_is_split_into_frames(run_ledger):
+    """Guards against a blank replica that can't rejoin because the registers of the
+    others exceed the size of a frame."""
 
     async def main(ledger):
         client = ledger.client("entry-1")
@@ -252,8 +252,8 @@
 
 
 def test_retention_and_unresolved_claims(run_ledger):
-    """Guards against outcomes that stay for ever, and against claims without an
-    outcome that are dropped, run again or hidden from operators."""
+    """Guards against outcomes that never expire, and against claims without an
+    outcome that are dropped, executed again or hidden from operators."""
 
     async def main(ledger):
         client = ledger.client("entry-1")
@@ -271,9 +271,9 @@
     run_ledger(main)
 
 
-def test_suspended_operation_ends(run_ledger):
-    """Guards against a client that goes on with promises which the replicas dropped
-    by age while its process was suspended."""
+def test_operation_ends_after_a_suspension(run_ledger):
+    """Guards against a client that continues with promises which the replicas
+    dropped by age while its process was suspended."""
 
     async def main(ledger):
         instants = iter([0.0, 0.0, 40_000.0])
@@ -309,14 +309,14 @@
 
 
 def test_group_sync(run, tmp_path):
-    """Guards against one sync for each request, and against an answer before it."""
+    """Guards against one sync for each request, and against a response before it."""
 
     async def main():
         store = RegisterStore(tmp_path, 3, lambda: 0.0)
 
         async def change(key):
             store.put(key, handle(BLANK_REGISTER, Claim("c"), 0.0)[0])
-            await store.synced()
+            await store.wait_until_synced()
             assert len(RegisterStore(tmp_path, 3, lambda: 0.0)) == 50
 
         async with curio.TaskGroup() as group:
@@ -328,29 +328,29 @@
 
 
 def test_compaction_keeps_the_newest_registers(run, tmp_path):
-    """Guards against a rewrite of the journal that loses or takes back a change, and
-    against a journal that grows for ever."""
+    """Guards against a compaction that loses or reverts a change, and against a
+    journal that grows without bound."""
 
     async def main():
-        def held(claim_id):
+        def claimed_register(claim_id):
             return Register(value=Value(State.CLAIMED, (claim_id,)))
 
         store = RegisterStore(tmp_path, 3, lambda: 0.0)
         store.put_epochs((1, 2, 1))
         for n in range(16_000):
-            store.put(f"{n % 1000}", held(f"{n}"))
+            store.put(f"{n % 1000}", claimed_register(f"{n}"))
             if n % 1000 == 999:
-                await store.synced()
+                await store.wait_until_synced()
         size_bytes = (tmp_path / "registers").stat().st_size
-        store.put("0", held("unsynced"))
+        store.put("0", claimed_register("unsynced"))
         store.compact_if_needed()
         assert (tmp_path / "registers").stat().st_size < size_bytes / 8
-        store.put("new", held("later"))
-        await store.synced()
-        again = RegisterStore(tmp_path, 3, lambda: 0.0)
-        assert (len(again), again.epochs) == (1001, (1, 2, 1))
+        store.put("new", claimed_register("later"))
+        await store.wait_until_synced()
+        reopened_store = RegisterStore(tmp_path, 3, lambda: 0.0)
+        assert (len(reopened_store), reopened_store.epochs) == (1001, (1, 2, 1))
         expected = {"0": "unsynced", "1": "15001", "new": "later"}
         for key, claim_id in expected.items():
-            assert again.get(key) == held(claim_id)
+            assert reopened_store.get(key) == claimed_register(claim_id)
 
     run(main)
