--- a/pollenfold/tests/features/test_ledger.py
+++ b/pollenfold/tests/features/test_ledger.py
@@ -18,7 +18,7 @@
 
 TIMEOUT_MS = 5000.0
 OUTCOME = Outcome(201, body=b"booked")
-ANSWERS = {
+RESULTS = {
     "claimed": Claimed(),
     "completed": Completed(OUTCOME),
     "in progress": InProgress(),
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def steps():
-    """Coroutine functions of the scenario, run in one loop by the last step."""
+    """Coroutine functions of the scenario, which the last step runs in one loop."""
     return {}
 
 
@@ -42,7 +42,7 @@
 def earlier_request(steps, state):
     async def prepare(ledger):
         client = ledger.client("entry-1")
-        if state == "split in two":
+        if state == "claimed with split votes":
             for name, claim_id in (("a", "c1"), ("b", "c2"), ("c", "c1")):
                 payload = encode_request("key", Claim(claim_id))
                 await ledger.replicas[name].answer(payload)
@@ -63,7 +63,7 @@
     steps["state"] = prepare
 
 
-@when("nothing happens")
+@when("no fault occurs")
 def no_fault(steps):
     async def fault(ledger):
         return
@@ -71,13 +71,13 @@
     steps["fault"] = fault
 
 
-@when(parsers.re(r"replicas? (?P<names>[a-e, ]+) (is|are) (?P<what>\w+)"))
-def silent_replicas(steps, names, what):
+@when(parsers.re(r"replicas? (?P<names>[a-e, ]+) (is|are) (?P<fault_kind>\w+)"))
+def unavailable_replicas(steps, names, fault_kind):
     async def fault(ledger):
         for name in names.split(", "):
-            if what == "isolated":
+            if fault_kind == "isolated":
                 ledger.isolate(name)
-            elif what == "suspended":
+            elif fault_kind == "suspended":
                 ledger.suspend(name)
             else:
                 await ledger.stop(name)
@@ -87,7 +87,7 @@
 
 @when(parsers.re(r"replicas? (?P<names>[a-e, ]+) (loses its disk|lose their disks)"))
 def lost_disks(steps, names):
-    """Lose the disks one after the other, each right after the copy before it."""
+    """Lose the disks in succession, each as soon as the previous replica rejoined."""
 
     async def fault(ledger):
         for name in names.split(", "):
@@ -106,8 +106,8 @@
     steps["fault"] = fault
 
 
-@when("all replicas crash in a write")
-def torn_writes(steps):
+@when("all replicas crash during a write")
+def partial_writes(steps):
     async def fault(ledger):
         for name in ledger.names:
             await ledger.crash_in_write(name)
@@ -115,15 +115,15 @@
     steps["fault"] = fault
 
 
-@then(parsers.parse('the resend gets "{answer}"'))
-def check_answer(steps, run, tmp_path, answer):
-    """Guards against a resend that runs again, loses its outcome or hangs."""
+@then(parsers.parse('the resend gets the result "{result}"'))
+def check_result(steps, run, tmp_path, result):
+    """Guards against a resend that is executed again, loses its outcome or hangs."""
 
     async def main():
         async with LocalLedger(tmp_path, steps["n"]) as ledger:
             await steps["state"](ledger)
             await steps["fault"](ledger)
             client = ledger.client("entry-2")
-            assert await client.claim("key", "d", TIMEOUT_MS) == ANSWERS[answer]
+            assert await client.claim("key", "d", TIMEOUT_MS) == RESULTS[result]
 
     run(main)
--- a/pollenfold/tests/features/test_operators.py
+++ b/pollenfold/tests/features/test_operators.py
@@ -1,4 +1,4 @@
-"""The operator interface over HTTP; see operators.feature."""
+"""Steps of operators.feature: the operator interface over HTTP."""
 
 import json
 from types import SimpleNamespace
@@ -41,20 +41,20 @@
     return await send(control, b"POST", b"/v1/records", body, **options)
 
 
-async def stored_zone(control):
-    reply = await send(control, b"GET", b"/v1/records?kind=zone&name=a")
-    return reply.body["records"][0]
+async def read_zone(control):
+    response = await send(control, b"GET", b"/v1/records?kind=zone&name=a")
+    return response.body["records"][0]
 
 
-async def to_follower(control, method, body=b""):
+async def send_to_follower(control, method, body=b""):
     control.replica.follow("c2")
     control.operators["c2"] = "127.0.0.1:7777"
-    reply = await send(control, method, b"/v1/records", body)
-    assert reply.body["leader"] == "127.0.0.1:7777"
-    return reply
+    response = await send(control, method, b"/v1/records", body)
+    assert response.body["leader"] == "127.0.0.1:7777"
+    return response
 
 
-async def to_new_leader(control):
+async def post_to_new_leader(control):
     control.replica.follow("c2")
     control.replica.lead()
     return await post(control, zone(2))
@@ -63,21 +63,21 @@
 FAULTS = {
     "a wrong token": lambda control: post(control, zone(2), token="guess"),
     "no token": lambda control: post(control, zone(2), token=None),
-    "garbage": lambda control: post(control, b"\xff\x00{"),
+    "malformed JSON": lambda control: post(control, b"\xff\x00{"),
     "an empty body": lambda control: post(control, b""),
-    "a bad field": lambda control: post(control, zone(2, state="gone")),
+    "an invalid field": lambda control: post(control, zone(2, state="gone")),
     "a later schema": lambda control: post(control, zone(2, 3)),
     "an equal version": lambda control: post(control, zone(1, region="x")),
     "a skipped version": lambda control: post(control, zone(3)),
-    "a bad change id": lambda control: post(control, zone(2), change_id="a b"),
-    "a used change id": lambda control: post(control, zone(2), change_id="first"),
+    "an invalid change id": lambda control: post(control, zone(2), change_id="a b"),
+    "a reused change id": lambda control: post(control, zone(2), change_id="first"),
     "a body over the limit": lambda control: post(control, b" " * ((1 << 20) + 1)),
     "an unknown path": lambda control: send(control, b"GET", b"/v1/nothing"),
-    "a record to a follower": lambda control: to_follower(
+    "a record to a follower": lambda control: send_to_follower(
         control, b"POST", json.dumps(zone(2)).encode()
     ),
-    "a read from a follower": lambda control: to_follower(control, b"GET"),
-    "a record to a new leader": to_new_leader,
+    "a read from a follower": lambda control: send_to_follower(control, b"GET"),
+    "a record to a new leader": post_to_new_leader,
 }
 
 
@@ -88,17 +88,17 @@
         fake = ControlFake()
 
         def run(function, *args, **options):
-            async def limited():
+            async def run_with_timeout():
                 async with curio.timeout_after(20):
                     return await function(fake, *args, **options)
 
-            return kernel.run(limited)
+            return kernel.run(run_with_timeout)
 
         yield SimpleNamespace(run=run, fake=fake, reply=None, first=None)
         kernel.run(fake.stop)
 
 
-async def lead(control):
+async def start_leading(control):
     control.replica.lead()
     while control.state.leadership() is None:
         await curio.sleep(0.005)
@@ -108,7 +108,7 @@
 def _(control):
     async def start(fake):
         await fake.start()
-        await lead(fake)
+        await start_leading(fake)
         return await post(fake, zone(1), change_id="first")
 
     assert control.run(start).status == 200
@@ -120,7 +120,9 @@
 
 
 @then(
-    parsers.parse("the answer is {status:d} with {error} and the run state {run_state}")
+    parsers.parse(
+        "the response is {status:d} with {error} and the run state {run_state}"
+    )
 )
 def _(control, status, error, run_state):
     body = control.reply.body
@@ -130,8 +132,8 @@
 
 @then(parsers.re(r'the zone "a" is (still )?at version (?P<version>\d+)'))
 def _(control, version):
-    control.run(lead)
-    assert control.run(stored_zone)["version"] == int(version)
+    control.run(start_leading)
+    assert control.run(read_zone)["version"] == int(version)
 
 
 @when("an operator stores version 2 of the zone and the response is lost")
@@ -150,7 +152,7 @@
     control.reply = control.run(post, again, change_id="second")
 
 
-@then("the answer is that of the first time")
+@then("the response is the same as the first one")
 def _(control):
     assert control.first.status == 200
     assert control.reply == control.first
@@ -162,7 +164,7 @@
     control.reply = control.run(post, zone(2), change_id="lost")
 
 
-@then("the change id tells whether it was accepted")
+@then("a query by change id shows whether it was accepted")
 def _(control):
     path = f"/v1/changes/{control.reply.body['change_id']}".encode()
     body = control.run(send, b"GET", path).body
@@ -174,7 +176,7 @@
     control.reply = control.run(post, zone(2, 2, weight={"x": [1]}))
 
 
-@then("the field is named in the answer and returned with the record")
+@then("the response names the field and the record still contains it")
 def _(control):
     assert control.reply.body["unknown_fields"] == ["spec.weight"]
-    assert control.run(stored_zone)["spec"]["weight"] == {"x": [1]}
+    assert control.run(read_zone)["spec"]["weight"] == {"x": [1]}
