--- a/pollenfold/tests/entry/test_announcements.py
+++ b/pollenfold/tests/entry/test_announcements.py
@@ -83,19 +83,19 @@
         entry.announce(**{name: json.loads(value)})
     elif body == "a deeply nested array":
         entry.post(b"[" * 100_000)
-    elif body == "bytes that are no text":
+    elif body == "bytes that are not UTF-8":
         entry.post(b'{"service": "\xff\xfe"}')
     else:
         entry.post(body.encode())
 
 
-@then(parsers.re(r'the answer is (?P<status>\d+) with reason "(?P<reason>.*)"'))
+@then(parsers.re(r'the response is (?P<status>\d+) with reason "(?P<reason>.*)"'))
 def check_reason(entry, status, reason):
     assert (entry.status, entry.answer["reason"]) == (int(status), reason)
     assert entry.answer["accepted"] is not bool(reason)
 
 
-@then(parsers.re(r'the answer is (?P<status>\d+) with error "(?P<error>.*)"'))
+@then(parsers.re(r'the response is (?P<status>\d+) with error "(?P<error>.*)"'))
 def check_error(entry, status, error):
     assert (entry.status, entry.answer["error"]) == (int(status), error)
     assert entry.answer["detail"]
@@ -106,12 +106,12 @@
     assert len(entry.table.endpoints("pearl-market")) == int(n_serving)
 
 
-@then(parsers.re(r"the peers were told (?P<n_pushes>\d+) times?"))
+@then(parsers.re(r"the peers received (?P<n_pushes>\d+) push(es)?"))
 def check_pushes(entry, n_pushes):
     assert len(entry.pushes) == int(n_pushes)
 
 
-@then(parsers.parse("a leave notice for incarnation {incarnation:d} was given"))
+@then(parsers.parse("a leave notice for incarnation {incarnation:d} was sent"))
 def check_notice(entry, incarnation):
     assert entry.notices == [LeaveNotice("pearl-market", "10.0.0.1", 8080, incarnation)]
     assert entry.answer["n_peers"] == 18
--- a/pollenfold/tests/entry/test_call_path.py
+++ b/pollenfold/tests/entry/test_call_path.py
@@ -18,8 +18,8 @@
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 SCRIPTS = {
-    "garbage": b"\x00\x01 no response\r\n\r\n",
-    "half a head": HEAD + b"Content-Le",
+    "malformed bytes": b"\x00\x01 no response\r\n\r\n",
+    "a partial head": HEAD + b"Content-Le",
     "an unframed body": HEAD + b"\r\nthe first half",
     "two lengths": HEAD + b"Content-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
     "an endless head": HEAD + b"X: " + b"y" * 40_000,
@@ -152,7 +152,7 @@
     elif cause == "no endpoints":
         path.endpoints.clear()
         await entry.sync()
-    elif cause == "ledger lost":
+    elif cause == "ledger unavailable":
         path.ledger.isolate("a")
         path.ledger.isolate("b")
     return {
@@ -168,7 +168,9 @@
 
 
 @then(
-    parsers.re(r'the answer is (?P<status>\d+), "(?P<error>\w*)", "(?P<run_state>\w*)"')
+    parsers.re(
+        r'the response is (?P<status>\d+), "(?P<error>\w*)", "(?P<run_state>\w*)"'
+    )
 )
 def answer_is(plan, status, error, run_state):
     reply = plan.reply
@@ -178,12 +180,12 @@
         assert plan.whole is None
 
 
-@then(parsers.parse("the servers ran it {n_runs:d} times"))
+@then(parsers.parse("the servers executed it {n_runs:d} times"))
 def ran(plan, n_runs):
     assert plan.n_runs == n_runs
 
 
-@then("a resend of the key runs nothing")
+@then("a resend of the key is not executed")
 def resend_runs_nothing(plan):
     if plan.resend is None:
         return
@@ -196,7 +198,7 @@
         assert plan.resend.run_state == "outcome_unknown"
 
 
-@then("five later callers get their own whole answers")
+@then("five later requests get their own complete responses")
 def later_answers(plan):
     assert plan.later == [None] * 5
 
@@ -211,6 +213,6 @@
     assert plan.reply.retry_after == (seconds or None)
 
 
-@then(parsers.parse("the answer came within {limit_ms:d} ms"))
+@then(parsers.parse("the response arrived within {limit_ms:d} ms"))
 def came_at_once(plan, limit_ms):
     assert plan.reply.took_ms < limit_ms
--- a/pollenfold/tests/features/announcements.feature
+++ b/pollenfold/tests/features/announcements.feature
@@ -1,5 +1,5 @@
 Feature: Announcements of backend servers
-  A backend server announces itself to any entry. No fault of an announcement
+  A backend server announces itself to any entry. No faulty announcement
   returns a leaving endpoint to service or stops the entry.
 
   Background:
@@ -7,21 +7,21 @@
 
   Scenario: A first announcement brings the endpoint into service
     When the server announces incarnation 5, heartbeat 1, "serving"
-    Then the answer is 200 with reason ""
+    Then the response is 200 with reason ""
     And 1 endpoint serves
-    And the peers were told 1 time
+    And the peers received 1 push
 
-  Scenario: A leave is told to the peers and to the control leader
+  Scenario: A leave is announced to the peers and to the control leader
     Given the server announced incarnation 5, heartbeat 1, "serving"
     When the server announces incarnation 5, heartbeat 2, "leaving"
-    Then the answer is 200 with reason ""
+    Then the response is 200 with reason ""
     And 0 endpoints serve
-    And a leave notice for incarnation 5 was given
+    And a leave notice for incarnation 5 was sent
 
   Scenario Outline: Announcements out of order: <fault>
     Given the server announced incarnation 5, heartbeat 4, "<before>"
     When the server announces incarnation <incarnation>, heartbeat <heartbeat>, "<state>"
-    Then the answer is 200 with reason "<reason>"
+    Then the response is 200 with reason "<reason>"
     And <n_serving> endpoints serve
 
     Examples:
@@ -35,18 +35,18 @@
       | leaving twice             | leaving | 5           | 5         | leaving |                   | 0         |
       | leaving, then restarted   | leaving | 6           | 1         | serving |                   | 1         |
 
-  Scenario Outline: Announcements that are refused: <fault>
+  Scenario Outline: Announcements that are rejected: <fault>
     When the server posts <body>
-    Then the answer is <status> with error "<error>"
+    Then the response is <status> with error "<error>"
     And 0 endpoints serve
-    And the peers were told 0 times
+    And the peers received 0 pushes
 
     Examples:
       | fault            | body                              | status | error           |
-      | no JSON          | {                                 | 400    | bad_request     |
+      | malformed JSON   | {                                 | 400    | bad_request     |
       | an array         | []                                | 400    | bad_request     |
       | deep nesting     | a deeply nested array             | 400    | bad_request     |
-      | no UTF-8         | bytes that are no text            | 400    | bad_request     |
+      | invalid UTF-8    | bytes that are not UTF-8          | 400    | bad_request     |
       | unknown service  | service = "elsewhere"             | 404    | unknown_service |
       | no service       | service = ""                      | 400    | bad_request     |
       | host name        | host = "db.internal"              | 400    | bad_request     |
@@ -56,5 +56,5 @@
       | float counter    | heartbeat = 1.5                   | 400    | bad_request     |
       | boolean slots    | slots = true                      | 400    | bad_request     |
       | no slots         | slots = 0                         | 400    | bad_request     |
-      | endless ttl      | ttl_ms = 1e300                    | 400    | bad_request     |
+      | oversized ttl    | ttl_ms = 1e300                    | 400    | bad_request     |
       | unknown state    | state = "sleeping"                | 400    | bad_request     |
--- a/pollenfold/tests/features/call_path.feature
+++ b/pollenfold/tests/features/call_path.feature
@@ -1,14 +1,14 @@
 Feature: Call path of an entry
-  Every caller gets its own whole answer or one error kind that tells whether the
-  request ran. A non-idempotent request runs at most once.
+  Every caller gets its own complete response, or one error kind that shows whether the
+  request was executed. A non-idempotent request is executed at most once.
 
-  Scenario Outline: A <method> meets "<fault>" at the first of <n_servers> servers
+  Scenario Outline: A <method> while the first of <n_servers> servers has "<fault>"
     Given a service with <n_servers> servers, the first with the fault <fault>
     When a caller sends <method> with the key "<key>"
-    Then the answer is <status>, "<error>", "<run_state>"
-    And the servers ran it <n_runs> times
-    And a resend of the key runs nothing
-    And five later callers get their own whole answers
+    Then the response is <status>, "<error>", "<run_state>"
+    And the servers executed it <n_runs> times
+    And a resend of the key is not executed
+    And five later requests get their own complete responses
 
     Examples: idempotent, one server
       | method | key | fault             | n_servers | status | error             | run_state       | n_runs |
@@ -52,30 +52,30 @@
       | POST   |     | refused           | 1         | 503    | backend_refused   | did_not_run     | 0      |
       | GET    |     | refused           | 1         | 503    | backend_refused   | did_not_run     | 0      |
 
-  Scenario Outline: A server answers a <method> with <bytes>
+  Scenario Outline: A server responds to a <method> with <bytes>
     Given a service whose only server sends <bytes>
     When a caller sends <method> with the key "<key>"
-    Then the answer is <status>, "<error>", "<run_state>"
+    Then the response is <status>, "<error>", "<run_state>"
     And its connection is closed
 
     Examples:
       | bytes                  | method | key | status | error           | run_state       |
-      | garbage                | GET    |     | 502    | backend_failed  | outcome_unknown |
-      | garbage                | POST   | k   | 502    | outcome_unknown | outcome_unknown |
-      | half a head            | POST   | k   | 502    | outcome_unknown | outcome_unknown |
+      | malformed bytes        | GET    |     | 502    | backend_failed  | outcome_unknown |
+      | malformed bytes        | POST   | k   | 502    | outcome_unknown | outcome_unknown |
+      | a partial head         | POST   | k   | 502    | outcome_unknown | outcome_unknown |
       | an unframed body       | GET    |     | 502    | backend_failed  | outcome_unknown |
       | two lengths            | POST   | k   | 502    | outcome_unknown | outcome_unknown |
       | an endless head        | GET    |     | 502    | backend_failed  | outcome_unknown |
       | a foreign exchange id  | GET    |     | 502    | backend_failed  | outcome_unknown |
 
-  Scenario Outline: Refusal of a <method> at once: <reason>
+  Scenario Outline: Immediate refusal of a <method>: <reason>
     Given a service with 1 servers, the first with the fault none
     And the refusal cause <reason>
     When a caller sends <method> with the key "<key>"
-    Then the answer is <status>, "<error>", "<run_state>"
+    Then the response is <status>, "<error>", "<run_state>"
     And Retry-After is "<retry_after>"
-    And the answer came within 500 ms
-    And the servers ran it 0 times
+    And the response arrived within 500 ms
+    And the servers executed it 0 times
 
     Examples:
       | reason              | method | key | status | error             | run_state       | retry_after |
@@ -99,16 +99,16 @@
       | bad timeout header  | POST   |     | 400    | bad_request       | did_not_run     |             |
       | key too long        | POST   |     | 400    | bad_request       | outcome_unknown |             |
       | empty key           | POST   |     | 400    | bad_request       | outcome_unknown |             |
-      | ledger lost         | POST   | k   | 503    | ledger_unavailable | outcome_unknown | 1          |
-      | ledger lost         | POST   |     | 503    | ledger_unavailable | did_not_run    | 1           |
+      | ledger unavailable  | POST   | k   | 503    | ledger_unavailable | outcome_unknown | 1          |
+      | ledger unavailable  | POST   |     | 503    | ledger_unavailable | did_not_run    | 1           |
 
-  Scenario Outline: A lease that ends while a <method> is queued
+  Scenario Outline: A lease that expires while a <method> is queued
     Given a service with 1 servers, the first with the fault none
     And the refusal cause lease lost while queued
     When a caller sends <method> with the key "<key>"
-    Then the answer is 503, "no_lease", "did_not_run"
+    Then the response is 503, "no_lease", "did_not_run"
     And Retry-After is "2"
-    And the servers ran it 0 times
+    And the servers executed it 0 times
 
     Examples:
       | method | key |
--- a/pollenfold/tests/testing/test_fault_table.py
+++ b/pollenfold/tests/testing/test_fault_table.py
@@ -39,12 +39,12 @@
     with_server(body)
 
 
-@then(parsers.parse("the caller sees {what}"))
+@then(parsers.parse("the caller gets {what}"))
 def caller_sees(seen, what):
     result = seen["result"]
     if what == "nothing for 300 ms":
         assert result is None
-    elif what == "a whole answer":
+    elif what == "a complete response":
         assert result.ok.status == 200
         assert check_answer(result.ok.body, "r1", "k1") is None
     elif what == "a not-started 503":
@@ -55,7 +55,7 @@
         assert result.error.value == what
 
 
-@then(parsers.parse('the key "{key}" ran {n_runs:d} times'))
+@then(parsers.parse('the request with the key "{key}" was executed {n_runs:d} times'))
 def key_ran(seen, key, n_runs):
     assert seen["runs"].get(key, 0) == n_runs
 
