--- a/pollenfold/ledger/client.py
+++ b/pollenfold/ledger/client.py
@@ -18,9 +18,9 @@
 from ..wire.frames import Protocol
 from ..wire.ledger import (
     Body,
-    Read,
+    ReadRequest,
     Request,
-    Unresolved,
+    UnresolvedRequest,
     decode_response,
     encode_request,
 )
@@ -153,7 +153,7 @@
         ``LEDGER_UNAVAILABLE`` without a majority (call again), and
         ``OUTCOME_UNKNOWN`` when the key has another claim or outcome.
         """
-        header_bytes = sum(len(name) + len(text) for name, text in outcome.headers)
+        header_bytes = sum(len(name) + len(value) for name, value in outcome.headers)
         if len(outcome.body) > MAX_BODY_BYTES or header_bytes > MAX_HEADER_BYTES:
             return Error(ErrorKind.BODY_TOO_LARGE)
         n_replicas = len(self._replicas)
@@ -179,7 +179,7 @@
         The list is complete up to the limit when a majority of replicas responds.
         """
         keys: set[str] = set()
-        for body in await self._call_all("", Unresolved(limit)):
+        for body in await self._call_all("", UnresolvedRequest(limit)):
             if isinstance(body, tuple):
                 keys.update(body)
         unresolved_claims = []
@@ -267,7 +267,7 @@
         return group.results
 
     async def _read_unresolved(self, key: str) -> UnresolvedClaim | None:
-        bodies = await self._call_all(key, Read())
+        bodies = await self._call_all(key, ReadRequest())
         replies = [body for body in bodies if isinstance(body, Reply)]
         if not replies:
             return None
--- a/pollenfold/ledger/replica.py
+++ b/pollenfold/ledger/replica.py
@@ -27,11 +27,11 @@
     Fence,
     Page,
     PageRequest,
-    Read,
+    ReadRequest,
     Request,
     Status,
     StatusRequest,
-    Unresolved,
+    UnresolvedRequest,
     decode_request,
     encode_response,
 )
@@ -139,9 +139,9 @@
         match request:
             case Claim() | Prepare() | Accept():
                 return self._apply(key, request)
-            case Read():
+            case ReadRequest():
                 return self._make_reply(False, self.store.get(key))
-            case Unresolved(limit):
+            case UnresolvedRequest(limit):
                 return await self._unresolved_keys(limit)
             case Fence():
                 return self._apply_fence(request)
--- a/pollenfold/tests/wire/test_rpc.py
+++ b/pollenfold/tests/wire/test_rpc.py
@@ -148,10 +148,10 @@
     """Guards against a response that is too large to send and blocks the caller."""
 
     async def main():
-        async def answer(payload):
+        async def respond_oversized(payload):
             return b"x" * (MAX_PAYLOAD_BYTES + 1)
 
-        task, port = await start_server({Protocol.LEDGER: answer})
+        task, port = await start_server({Protocol.LEDGER: respond_oversized})
         client = RpcClient("127.0.0.1", port)
         async with curio.timeout_after(5):
             result = await client.call(Protocol.LEDGER, b"a", 60_000)
--- a/pollenfold/wire/ledger.py
+++ b/pollenfold/wire/ledger.py
@@ -41,12 +41,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
+class ReadRequest:
     """Requests the register of a key without changing it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Unresolved:
+class UnresolvedRequest:
     """Requests the keys of claims without an outcome, at most ``limit`` of them."""
 
     limit: int
@@ -98,7 +98,9 @@
     is_last: bool
 
 
-Request = Message | Read | Unresolved | StatusRequest | Fence | PageRequest
+Request = (
+    Message | ReadRequest | UnresolvedRequest | StatusRequest | Fence | PageRequest
+)
 Body = Reply | tuple[str, ...] | Status | Page | None
 Epochs = tuple[int, ...]
 
@@ -115,9 +117,9 @@
             accept = message.init("accept")
             _set_ballot(accept.init("ballot"), ballot)
             _set_value(accept.init("value"), value)
-        case Read():
+        case ReadRequest():
             message.read = None
-        case Unresolved(limit):
+        case UnresolvedRequest(limit):
             message.unresolved = limit
         case StatusRequest():
             message.status = None
@@ -149,9 +151,9 @@
             accept = message.accept
             return Accept(_read_ballot(accept.ballot), _read_value(accept.value))
         case "read":
-            return Read()
+            return ReadRequest()
         case "unresolved":
-            return Unresolved(message.unresolved)
+            return UnresolvedRequest(message.unresolved)
         case "status":
             return StatusRequest()
         case "fence":
