--- a/pollenfold/control/cluster.py
+++ b/pollenfold/control/cluster.py
@@ -1,4 +1,4 @@
-"""A control replica that finds its group from seeds and agrees on its members."""
+"""A control replica that discovers its cluster from seeds and agrees on membership."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
 from ..wire.frames import Protocol
 from ..wire.rpc import RpcServer
 from .feed_server import FeedServer
-from .order_book import OrderBook, PeerView
+from .order_book import ClusterState, PeerView
 from .replica import DynamicMembers, Replica
 
 JOIN_INTERVAL_MS = 400.0
 JOIN_TIMEOUT_MS = 400.0
-LEADER_SILENT_MS = 1_000.0
-"""A replica that heard no leader for so long asks the others to take it in again."""
+LEADER_TIMEOUT_MS = 1_000.0
+"""Without contact to a leader for this long, a replica asks the others to rejoin."""
 
 CACHE_INTERVAL_MS = 1_000.0
 STOP_WAIT_MS = 1_500.0
-MAX_ORDER_BYTES = 16 << 20
+MAX_REQUEST_BYTES = 16 << 20
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterSettings:
     """Addresses of one control replica and how it finds the others.
 
-    ``seeds`` returns hosts where control replicas may run; ``reload`` reads the
-    settings anew and raises ValueError when they can't be used. ``n_members`` is the
-    number of voters that the losses to be borne ask for.
+    ``seeds`` returns hosts where control replicas may run. ``reload`` rereads the
+    settings and raises ValueError when they are invalid. ``n_members`` is the number
+    of voters that the configured fault tolerance requires.
     """
 
     name: str
@@ -66,16 +66,16 @@
 
 
 class ClusterNode:
-    """The parts of one control replica."""
+    """Wires up the components of one control replica."""
 
     def __init__(self, settings: ClusterSettings) -> None:
-        """Open the data folder; raise OSError when it can't be used."""
+        """Open the data folder; raise OSError when that fails."""
         self.settings = settings
         clock = system_clock
         self.log = EventLog(settings.name, clock)
         forward_logs(self.log)
         self.metrics = Metrics()
-        self.book = OrderBook(settings.n_members, clock, self.log)
+        self.book = ClusterState(settings.n_members, clock, self.log)
         address = f"{settings.host}:{settings.peer_port}"
         settings.data_folder.mkdir(parents=True, exist_ok=True)
         self.replica_id = load_member_id(settings.data_folder, address)
@@ -116,68 +116,68 @@
 
     # Endpoints after a restart
 
-    def read_cache(self) -> None:
-        """Start with the endpoints and the fleet that were known before."""
+    def load_endpoints(self) -> None:
+        """Load the endpoints and the fleet size that were cached before the restart."""
         announcements, n_entries = read_endpoint_cache(self.settings.data_folder)
         for fields in announcements:
             try:
                 announcement = decode_announcement(fields)
-                self.book.take_announcement(announcement)
+                self.book.merge_announcement(announcement)
             except ValueError as error:
                 self.log.state("bad_cache", detail=str(error))
         self.feed_server.fleet.report(n_entries, system_clock())
 
-    async def keep_cache(self) -> None:
-        """Write the endpoints whenever others are known, once a second at most."""
+    async def persist_endpoints(self) -> None:
+        """Write the endpoint cache when the endpoints change, at most once a second."""
         written: tuple[object, ...] = ()
         while True:
             await curio.sleep(CACHE_INTERVAL_MS / 1000)
-            known = sorted(
+            announcements = sorted(
                 self.book.registry.announcements(), key=lambda a: a.endpoint_id
             )
             n_entries = self.feed_server.fleet.get(system_clock())
-            present = (n_entries, *((a.endpoint_id, a.born_ms) for a in known))
-            if present == written or not known:
+            current = (n_entries, *((a.endpoint_id, a.born_ms) for a in announcements))
+            if current == written or not announcements:
                 continue
             try:
-                encoded = [a.encode() for a in known]
+                encoded = [a.encode() for a in announcements]
                 write_endpoint_cache(self.settings.data_folder, encoded, n_entries)
             except OSError as error:
                 self.log.state("cache_failed", detail=str(error))
-            written = present
+            written = current
 
     # Joining
 
     def is_member(self) -> bool:
-        """Return whether this replica is one of the voters that it knows."""
+        """Return whether this replica is a voter in its own view of the membership."""
         return self.replica_id in self.replica.voters()
 
     def leader_host(self) -> str | None:
-        """Return the host of the leader, if it is known and another one."""
+        """Return the host of the leader, if it is known and isn't this replica."""
         leader_id = self.replica.leader_id()
         if leader_id is None or leader_id == self.replica_id:
             return None
         return host_and_port(leader_id)[0]
 
     async def _handle_join(self, payload: bytes) -> bytes:
-        """Take a replica in as a learner, or name the leader."""
+        """Add a replica as a learner if this one leads; return the leader's id."""
         replica_id = payload.decode()
         if self.replica.is_leader():
             self.replica.join(replica_id)
         return json.dumps({"leader": self.replica.leader_id()}).encode()
 
     async def join(self) -> None:
-        """Ask for the log while this replica is no voter or hears no leader."""
+        """Send join requests while this replica is no voter or has lost the leader."""
         while True:
             await curio.sleep(JOIN_INTERVAL_MS / 1000)
-            heard_at = self.replica.heard_at()
-            is_silent = heard_at is None or system_clock() > add_ms(
-                heard_at, LEADER_SILENT_MS
+            leader_contact_at = self.replica.last_leader_contact()
+            is_leader_lost = leader_contact_at is None or system_clock() > add_ms(
+                leader_contact_at, LEADER_TIMEOUT_MS
             )
-            if self.replica.is_leader() or (self.is_member() and not is_silent):
+            if self.replica.is_leader() or (self.is_member() and not is_leader_lost):
                 continue
             for address in self._join_addresses():
-                await curio.spawn(self._ask_to_join, address, daemon=True)
+                await curio.spawn(self._send_join_request, address, daemon=True)
 
     def _join_addresses(self) -> set[str]:
         port = self.settings.peer_port
@@ -187,7 +187,7 @@
             hosts.add(leader_host)
         return {f"{host}:{port}" for host in hosts - {self.settings.host}}
 
-    async def _ask_to_join(self, address: str) -> None:
+    async def _send_join_request(self, address: str) -> None:
         payload = self.replica_id.encode()
         result = await self.book.call(
             address, Protocol.MEMBERSHIP, payload, JOIN_TIMEOUT_MS
@@ -203,7 +203,7 @@
     # Metrics
 
     async def handle_metrics(self, request: Request) -> Response:
-        """Answer with the figures of this replica."""
+        """Respond with the metrics of this replica."""
         if request.path != "/metrics":
             return error_response(ErrorKind.NOT_FOUND)
         status = self.replica.status()
@@ -215,12 +215,12 @@
         metrics.set("applied_index", self.replica.applied_index())
         metrics.set("voters", len(self.replica.voters()))
         metrics.set("configuration_version", self.book.orders.version)
-        metrics.set("readers", self.feed_server.n_readers)
+        metrics.set("readers", self.feed_server.n_subscribers)
         metrics.set("endpoints", len(self.book.registry))
         return metrics_response(metrics, self.log)
 
     def reload(self) -> None:
-        """Read the settings anew."""
+        """Reread the settings."""
         settings = self.settings
         reload_settings(settings.reload, settings.seeds, self.log)
 
@@ -230,13 +230,13 @@
 ) -> None:
     """Run a control replica until SIGTERM or SIGINT.
 
-    ``make_handler`` gives what answers operators and endpoints. Raise OSError when an
-    address is taken or the data folder can't be used, and RuntimeError when a part
-    of the daemon ends.
+    ``make_handler`` returns the HTTP handler for operators and endpoints. Raise OSError
+    when an address is in use or the data folder can't be opened, and RuntimeError when
+    a task of the daemon ends.
     """
     node = ClusterNode(settings)
-    node.read_cache()
-    api = HttpServer(make_handler(node), MAX_ORDER_BYTES)
+    node.load_endpoints()
+    api = HttpServer(make_handler(node), MAX_REQUEST_BYTES)
     metrics = HttpServer(node.handle_metrics)
     async with curio.TaskGroup(wait=None) as group:
         stop = await group.spawn(wait_for_stop, node.reload)
@@ -251,7 +251,7 @@
         await group.spawn(node.feed_server.run)
         await group.spawn(node.feeds.run)
         await group.spawn(node.join)
-        await group.spawn(node.keep_cache)
+        await group.spawn(node.persist_endpoints)
         await group.spawn(node.log.run)
         node.log.state(
             "started",
--- a/pollenfold/control/feed_server.py
+++ b/pollenfold/control/feed_server.py
@@ -1,4 +1,4 @@
-"""Serves the feed of one control replica to entries and to the other replicas."""
+"""Serves the feed of one control replica to entries and other control replicas."""
 
 from __future__ import annotations
 
@@ -13,293 +13,306 @@
 from ..core.registry import Announcement, Known
 from ..observe.events import EventLog
 from ..wire.lines import encode_line, read_lines
-from .order_book import OrderBook, PeerView
+from .order_book import ClusterState, PeerView
 
 PUBLISH_INTERVAL_MS = 20.0
 KEEP_ALIVE_MS = 500.0
 SPARSE_KEEP_ALIVE_MS = 1_000.0
-"""The same for entries that take their news from another replica."""
+"""Keep-alive interval for entries that use another replica as update source."""
 
-HEARD_INTERVAL_MS = 3_000.0
-SILENCE_LIMIT_MS = 5_000.0
-STUCK_AFTER_MS = 2_000.0
-"""A reader that takes nothing for so long is cut off; it connects anew."""
+REFRESH_INTERVAL_MS = 3_000.0
+IDLE_TIMEOUT_MS = 5_000.0
+STALL_TIMEOUT_MS = 2_000.0
+"""A subscriber that accepts no bytes for this long is disconnected; it reconnects."""
 
-FORGET_AFTER_MS = 30_000.0
-"""A silent endpoint is no longer told to entries that connect."""
+ANNOUNCEMENT_MAX_AGE_MS = 30_000.0
+"""Endpoints without an announcement for this long are left out of the lists sent."""
 
 
-class _Reader:
-    """One connection that reads the feed."""
+class _Subscriber:
+    """One connection that receives the feed."""
 
     def __init__(self, client: socket.socket, hello: dict[str, Any], now: Instant):
         self.client = client
         self.name = str(hello.get("name", ""))
         self.role = str(hello.get("role", ""))
         self.is_entry = self.role == "entry"
-        self.takes_news = not self.is_entry or "news" not in hello
-        """Whether it is told of endpoints and names, or only where the orders are.
+        self.wants_updates = not self.is_entry or "news" not in hello
+        """Whether it receives endpoints and entry names, or only the log index.
 
-        An entry of an earlier version doesn't ask; every replica tells it."""
+        Entries of earlier versions don't subscribe explicitly; every replica sends
+        them updates."""
 
-        self._pending = bytearray()
-        self._moved_at = now
+        self._send_buffer = bytearray()
+        self._last_progress_at = now
 
-    def add(self, data: bytes) -> None:
-        """Queue lines."""
-        self._pending += data
+    def enqueue(self, data: bytes) -> None:
+        """Append encoded lines to the send buffer."""
+        self._send_buffer += data
 
     def send(self, now: Instant) -> bool:
-        """Write what the socket takes; return False for a dead or stuck reader."""
+        """Write what the socket accepts; return False if it is closed or stalled."""
         try:
-            while self._pending:
-                n_bytes = self.client._socket.send(self._pending)
-                del self._pending[:n_bytes]
-                self._moved_at = now
+            while self._send_buffer:
+                n_bytes = self.client._socket.send(self._send_buffer)
+                del self._send_buffer[:n_bytes]
+                self._last_progress_at = now
         except (BlockingIOError, InterruptedError):
-            return now < add_ms(self._moved_at, STUCK_AFTER_MS)
+            return now < add_ms(self._last_progress_at, STALL_TIMEOUT_MS)
         except OSError:
             return False
-        self._moved_at = now
+        self._last_progress_at = now
         return True
 
 
 class FeedServer:
-    """Tells readers the index of the orders, the endpoints and the fleet.
+    """Sends subscribers the log index, the endpoints and the fleet.
 
-    One task writes to all readers, so that a change costs one wake-up however many
-    there are.
+    One task writes to all subscribers, so that a change costs one wake-up regardless
+    of their number.
     """
 
     def __init__(
         self,
         zone: str,
-        book: OrderBook,
+        cluster_state: ClusterState,
         peers: PeerView,
         clock: Clock,
         log: EventLog,
     ) -> None:
         self._zone = zone
-        self._book = book
+        self._cluster_state = cluster_state
         self._peers = peers
         self._clock = clock
         self._log = log
-        self._readers: set[_Reader] = set()
-        self._news: dict[str, Announcement] = {}
+        self._subscribers: set[_Subscriber] = set()
+        self._pending_updates: dict[str, Announcement] = {}
         self._is_changed = False
-        self._told_at = clock()
-        self._told_all_at = clock()
-        self._heard_at = clock()
-        self._told_entries: set[str] = set()
-        self._told_control: list[str] = []
-        self._told_n_peers = 0
+        self._published_at = clock()
+        self._published_to_all_at = clock()
+        self._refreshed_at = clock()
+        self._published_entries: set[str] = set()
+        self._published_control: list[str] = []
+        self._published_n_peers = 0
         self.fleet = FleetSize()
-        book.on_change = self._note_change
-        book.on_news = self._note_news
+        cluster_state.on_change = self._mark_changed
+        cluster_state.on_update = self._queue_update
 
     @property
-    def n_readers(self) -> int:
+    def n_subscribers(self) -> int:
         """The number of open connections."""
-        return len(self._readers)
+        return len(self._subscribers)
 
-    def _note_change(self) -> None:
+    def _mark_changed(self) -> None:
         self._is_changed = True
 
-    def _note_news(self, announcement: Announcement) -> None:
-        self._news[announcement.endpoint_id] = announcement
+    def _queue_update(self, announcement: Announcement) -> None:
+        self._pending_updates[announcement.endpoint_id] = announcement
 
     async def serve(self, host: str, port: int) -> None:
         """Listen until cancelled."""
-        await curio.tcp_server(host, port, self._serve_reader, reuse_address=True)
+        await curio.tcp_server(host, port, self._serve_subscriber, reuse_address=True)
 
-    async def _serve_reader(
+    async def _serve_subscriber(
         self, client: socket.socket, address: tuple[str, int]
     ) -> None:
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        reader: _Reader | None = None
+        subscriber: _Subscriber | None = None
         detail = "closed"
         try:
-            async for line in read_lines(client, lambda: SILENCE_LIMIT_MS):
-                if reader is None:
-                    reader = _Reader(client, line, self._clock())
-                    self._greet(reader)
+            async for line in read_lines(client, lambda: IDLE_TIMEOUT_MS):
+                if subscriber is None:
+                    subscriber = _Subscriber(client, line, self._clock())
+                    self._register(subscriber)
                 elif "get" in line:
-                    self._tell(reader, {"orders": self._orders_for(line)})
+                    self._send_line(subscriber, {"orders": self._state_for(line)})
                 elif "list" in line:
                     items = self._announcements(line.get("digests"))
-                    self._tell(reader, {"announcements": items})
+                    self._send_line(subscriber, {"announcements": items})
                 elif "news" in line:
-                    self._set_news(reader, bool(line["news"]))
+                    self._set_wants_updates(subscriber, bool(line["news"]))
         except OSError as error:
             detail = str(error) or type(error).__name__
-            if reader is None:
+            if subscriber is None:
                 self._log.state("feed_rejected", peer=address[0], detail=detail)
         finally:
-            if reader is not None:
-                self._readers.discard(reader)
+            if subscriber is not None:
+                self._subscribers.discard(subscriber)
                 self._log.state(
-                    "reader_lost", reader=reader.name, peer=address[0], detail=detail
+                    "reader_lost",
+                    reader=subscriber.name,
+                    peer=address[0],
+                    detail=detail,
                 )
 
-    def _greet(self, reader: _Reader) -> None:
-        """Tell a new reader where it is; it asks for orders and endpoints."""
-        self._readers.add(reader)
-        self._log.state("reader_connected", reader=reader.name, role=reader.role)
+    def _register(self, subscriber: _Subscriber) -> None:
+        """Add a subscriber and send the current index and sizes.
+
+        The subscriber requests the replicated state and the endpoints itself.
+        """
+        self._subscribers.add(subscriber)
+        self._log.state(
+            "reader_connected", reader=subscriber.name, role=subscriber.role
+        )
         line = {
             "zone": self._zone,
-            "index": self._book.orders.index,
+            "index": self._cluster_state.orders.index,
             "n_entries": self._n_entries(),
-            "n_endpoints": len(self._heard_lately()),
+            "n_endpoints": len(self._live_endpoints()),
             "n_peers": self._peers.n_connected,
             "control": sorted(self._peers.control_hosts),
         }
-        self._tell(reader, line)
+        self._send_line(subscriber, line)
 
-    def _orders_for(self, line: dict[str, Any]) -> dict[str, Any]:
-        """Return the orders, without what the reader says that it holds."""
-        orders = self._book.orders
+    def _state_for(self, line: dict[str, Any]) -> dict[str, Any]:
+        """Return the replicated state without the parts the subscriber already has."""
+        orders = self._cluster_state.orders
         index, version = int(line.get("index", 0)), int(line.get("version", 0))
         return orders.encode_since(index, version) if index else orders.encode()
 
-    def _set_news(self, reader: _Reader, takes_news: bool) -> None:
-        """Begin or end to tell an entry of endpoints and of other entries."""
-        if not reader.is_entry or reader.takes_news == takes_news:
+    def _set_wants_updates(self, subscriber: _Subscriber, wants_updates: bool) -> None:
+        """Start or stop sending an entry updates on endpoints and other entries."""
+        if not subscriber.is_entry or subscriber.wants_updates == wants_updates:
             return
-        reader.takes_news = takes_news
-        if takes_news:
-            # Changes are told relative to what all readers were told before.
-            names = sorted(self._told_entries)
-            self._tell(reader, {"entries": names, "complete_ms": self._complete_ms()})
+        subscriber.wants_updates = wants_updates
+        if wants_updates:
+            # Later changes are relative to what was last sent to all subscribers.
+            names = sorted(self._published_entries)
+            self._send_line(
+                subscriber, {"entries": names, "complete_ms": self._complete_ms()}
+            )
 
     def _complete_ms(self) -> float:
-        """Return how long this replica has heard all others, -1 while it doesn't."""
+        """Return how long this replica has been connected to all others, else -1."""
         since = self._peers.connected_since
         return -1.0 if since is None else round(self._clock() - since)
 
-    def _tell(self, reader: _Reader, line: dict[str, Any]) -> None:
-        reader.add(encode_line(line))
-        self._flush(reader)
+    def _send_line(self, subscriber: _Subscriber, line: dict[str, Any]) -> None:
+        subscriber.enqueue(encode_line(line))
+        self._flush(subscriber)
 
-    def _heard_lately(self) -> list[Known]:
-        oldest = add_ms(self._clock(), -FORGET_AFTER_MS)
-        return [k for k in self._book.registry.all_known() if k.heard_at > oldest]
+    def _live_endpoints(self) -> list[Known]:
+        oldest = add_ms(self._clock(), -ANNOUNCEMENT_MAX_AGE_MS)
+        return [
+            k for k in self._cluster_state.registry.all_known() if k.heard_at > oldest
+        ]
 
     def _announcements(self, digests: object) -> list[tuple[list[object], float]]:
-        """Return the endpoints that were heard lately, with the age of their words.
+        """Return the live endpoints with the age of their announcements.
 
-        Those that the reader has by its digests are left out.
+        Those whose bucket digests show that the subscriber has them are left out.
         """
         now = self._clock()
-        known = {k.announcement.endpoint_id: k for k in self._heard_lately()}
+        known = {k.announcement.endpoint_id: k for k in self._live_endpoints()}
         missing = differing((k.announcement for k in known.values()), digests)
         return [(a.encode(), now - known[a.endpoint_id].announced_at) for a in missing]
 
     def _entries(self) -> set[str]:
-        return {r.name for r in self._readers if r.is_entry}
+        return {r.name for r in self._subscribers if r.is_entry}
 
     def _n_entries(self) -> int:
-        """Return the number of entries, and note it."""
+        """Record the current number of entries; return the fleet size."""
         now = self._clock()
         self.fleet.report(len(self._entries()), now)
         return self.fleet.get(now)
 
-    def _fleet_news(self) -> tuple[dict[str, Any], dict[str, Any]]:
-        """Return what changed of the fleet, for all readers and for those of news.
+    def _fleet_changes(self) -> tuple[dict[str, Any], dict[str, Any]]:
+        """Return changes of the fleet: for all subscribers, and for those with updates.
 
-        Only the names that changed are told: with all of them in each line, a restart
-        of all entries would cost the square of their number.
+        Only changed names are sent: with all names in each line, a restart of all
+        entries would cost traffic quadratic in their number.
         """
         for_all: dict[str, Any] = {}
         names: dict[str, Any] = {}
         entries = self._entries()
-        if entries != self._told_entries:
+        if entries != self._published_entries:
             for_all["n_entries"] = self._n_entries()
-            names["joined"] = sorted(entries - self._told_entries)
-            names["left"] = sorted(self._told_entries - entries)
-            self._told_entries = entries
+            names["joined"] = sorted(entries - self._published_entries)
+            names["left"] = sorted(self._published_entries - entries)
+            self._published_entries = entries
         control = sorted(self._peers.control_hosts)
-        if control != self._told_control:
+        if control != self._published_control:
             for_all["control"] = control
-            self._told_control = control
+            self._published_control = control
         n_peers = self._peers.n_connected
-        if n_peers != self._told_n_peers:
+        if n_peers != self._published_n_peers:
             for_all["n_peers"] = n_peers
-            self._told_n_peers = n_peers
+            self._published_n_peers = n_peers
         return for_all, names
 
     async def run(self) -> None:
-        """Write changes and regular lines to all readers until cancelled."""
+        """Send changes and keep-alives to all subscribers until cancelled."""
         while True:
             await curio.sleep(PUBLISH_INTERVAL_MS / 1000)
             now = self._clock()
-            is_due = now >= add_ms(self._told_at, KEEP_ALIVE_MS)
-            if is_due or self._is_changed or self._news:
-                self._publish(now, is_due)
+            is_keep_alive_due = now >= add_ms(self._published_at, KEEP_ALIVE_MS)
+            if is_keep_alive_due or self._is_changed or self._pending_updates:
+                self._publish(now, is_keep_alive_due)
 
-    def _publish(self, now: Instant, is_due: bool) -> None:
-        """Write what is new to all readers, to each what it takes."""
+    def _publish(self, now: Instant, is_keep_alive_due: bool) -> None:
+        """Send all subscribers the pending changes, filtered by subscriber kind."""
         for_all: dict[str, Any] = {}
         names: dict[str, Any] = {}
-        if is_due:
-            for_all, names = self._fleet_news()
-            self._told_at = now
-        is_heard_due = now >= add_ms(self._heard_at, HEARD_INTERVAL_MS)
-        if is_heard_due:
-            # Readers forget the size of the fleet unless it is told again.
+        if is_keep_alive_due:
+            for_all, names = self._fleet_changes()
+            self._published_at = now
+        is_refresh_due = now >= add_ms(self._refreshed_at, REFRESH_INTERVAL_MS)
+        if is_refresh_due:
+            # Subscribers drop the fleet size unless it is repeated.
             for_all["n_entries"] = self._n_entries()
-            self._heard_at = now
-        is_all_due = now >= add_ms(self._told_all_at, SPARSE_KEEP_ALIVE_MS)
-        is_told_to_all = self._is_changed or bool(for_all) or is_all_due
-        if is_told_to_all:
-            self._told_all_at = now
-        for_all["index"] = self._book.orders.index
-        news = {**for_all, **names, **self._take_announcements()}
-        for_replicas, for_entries = news, news
-        if is_heard_due:
-            for_replicas, for_entries = self._with_heard(news)
+            self._refreshed_at = now
+        is_all_due = now >= add_ms(self._published_to_all_at, SPARSE_KEEP_ALIVE_MS)
+        is_sent_to_all = self._is_changed or bool(for_all) or is_all_due
+        if is_sent_to_all:
+            self._published_to_all_at = now
+        for_all["index"] = self._cluster_state.orders.index
+        updates = {**for_all, **names, **self._pop_updates()}
+        for_replicas, for_entries = updates, updates
+        if is_refresh_due:
+            for_replicas, for_entries = self._with_repeated(updates)
         self._is_changed = False
         self._write(
             encode_line(for_replicas),
             encode_line(for_entries),
-            encode_line(for_all) if is_told_to_all else b"",
+            encode_line(for_all) if is_sent_to_all else b"",
         )
 
-    def _take_announcements(self) -> dict[str, Any]:
-        """Return the announcements that readers weren't told yet."""
-        waiting = self._news.values()
-        self._news = {}
-        return {"announcements": [[a.encode(), 0] for a in waiting]} if waiting else {}
+    def _pop_updates(self) -> dict[str, Any]:
+        """Remove and return the announcements that weren't published yet."""
+        updates = self._pending_updates.values()
+        self._pending_updates = {}
+        return {"announcements": [[a.encode(), 0] for a in updates]} if updates else {}
 
-    def _with_heard(
-        self, news: dict[str, Any]
+    def _with_repeated(
+        self, updates: dict[str, Any]
     ) -> tuple[dict[str, Any], dict[str, Any]]:
-        """Return the news with the repeated announcements, by kind of reader."""
-        book = self._book
-        direct, relayed = book.heard_ids, book.relayed_heard_ids
-        book.heard_ids, book.relayed_heard_ids = set(), set()
-        for_replicas = {**news, "heard": sorted(direct)}
-        heard = sorted(direct | relayed)
+        """Add repeated endpoint ids; return the lines for replicas and for entries."""
+        cluster_state = self._cluster_state
+        direct, relayed = cluster_state.announced_ids, cluster_state.relayed_ids
+        cluster_state.announced_ids, cluster_state.relayed_ids = set(), set()
+        for_replicas = {**updates, "heard": sorted(direct)}
+        repeated = sorted(direct | relayed)
         complete_ms = self._complete_ms()
-        return for_replicas, {**news, "heard": heard, "complete_ms": complete_ms}
+        return for_replicas, {**updates, "heard": repeated, "complete_ms": complete_ms}
 
     def _write(self, for_replicas: bytes, for_entries: bytes, for_all: bytes) -> None:
-        """Write each reader the line of its kind, where there is one."""
-        for reader in list(self._readers):
-            if not reader.is_entry:
-                reader.add(for_replicas)
-            elif reader.takes_news:
-                reader.add(for_entries)
+        """Send each subscriber the line of its kind, if there is one."""
+        for subscriber in list(self._subscribers):
+            if not subscriber.is_entry:
+                subscriber.enqueue(for_replicas)
+            elif subscriber.wants_updates:
+                subscriber.enqueue(for_entries)
             elif for_all:
-                reader.add(for_all)
+                subscriber.enqueue(for_all)
             else:
                 continue
-            self._flush(reader)
+            self._flush(subscriber)
 
-    def _flush(self, reader: _Reader) -> None:
-        if not reader.send(self._clock()):
-            self._readers.discard(reader)
-            # Wakes the task that reads from the connection, which closes it.
+    def _flush(self, subscriber: _Subscriber) -> None:
+        if not subscriber.send(self._clock()):
+            self._subscribers.discard(subscriber)
+            # Wakes the task that reads from this connection; it then closes it.
             try:
-                reader.client._socket.shutdown(socket.SHUT_RDWR)
+                subscriber.client._socket.shutdown(socket.SHUT_RDWR)
             except OSError:
                 return
--- a/pollenfold/control/order_book.py
+++ b/pollenfold/control/order_book.py
@@ -1,8 +1,8 @@
-"""The orders and the announcements that one control replica holds.
+"""The replicated state and the endpoint announcements of one control replica.
 
-Orders are applied from the replicated log. Announcements are kept in memory only:
-endpoints repeat them, and what must not be forgotten of them, that an endpoint
-leaves, is an order.
+Commands are applied from the replicated log. Announcements are kept in memory only:
+endpoints repeat them, and the one fact that must survive, that an endpoint is leaving,
+is a command.
 """
 
 from __future__ import annotations
@@ -36,35 +36,36 @@
 from .replica import Replica
 
 BARRIER = b"\0"
-"""A command that changes nothing; reads use it to be sure of the newest state."""
+"""A no-op command; reads commit one so that they are linearizable."""
 
 MAY_BE_COMMITTED = b"\0"
-"""The answer to a forwarded command whose outcome the leader doesn't know. A replica of
-an earlier version reads it as index 0, which is none."""
+"""The response to a forwarded command whose outcome the leader doesn't know. Replicas
+of earlier versions read it as index 0, which means not committed."""
 
 FORWARD_TIMEOUT_MS = 700.0
 RETRY_PAUSE_MS = 40.0
-UNKNOWN_WAIT_MS = 400.0
-"""How long a replica waits to hear of an endpoint that leaves, which it doesn't know.
+UNKNOWN_ENDPOINT_WAIT_MS = 400.0
+"""How long a replica waits for the announcement of an unknown endpoint that is leaving.
 
-The endpoint itself waits a second for the answer."""
+The endpoint itself waits one second for the response."""
 
-UNKNOWN_CHECK_MS = 10.0
-FOUNDING_WAIT_MS = 6_000.0
-"""How long a young group waits for all its members before it takes orders.
+UNKNOWN_ENDPOINT_POLL_MS = 10.0
+BOOTSTRAP_WAIT_MS = 6_000.0
+"""How long a new cluster waits for all its members before it accepts configurations.
 
-An order that only the first members hold is lost with their disks."""
+A command that only the first members hold is lost with their disks."""
 
 Call = Callable[[str, bytes, float], Awaitable[Result[bytes, ErrorKind]]]
-"""Calls the replica with an id; takes payload and time in ms."""
+"""Calls a replica: id, payload and timeout in ms."""
 
 
-class OrderBook:
-    """Holds the orders in force, and brings new ones into the log.
+class ClusterState:
+    """Applies committed commands, submits new ones and holds the announcements.
 
-    ``replica`` is set after construction, since a replica takes ``apply``,
+    ``replica`` is set after construction, since the replica needs ``apply``,
     ``snapshot`` and ``restore`` of this object. ``on_change`` is called when the
-    orders changed, ``on_news`` with each announcement that says something new.
+    replicated state changed, ``on_update`` with each announcement that changed an
+    endpoint.
     """
 
     def __init__(self, n_members: int, clock: Clock, log: EventLog) -> None:
@@ -75,49 +76,50 @@
         self._started_at = clock()
         self.orders = Orders()
         self.registry = Registry()
-        self.heard_ids: set[str] = set()
-        self.relayed_heard_ids: set[str] = set()
-        """Endpoints that other replicas heard again; told to entries only, since
-        passed on between replicas they would keep a dead endpoint alive for ever."""
+        self.announced_ids: set[str] = set()
+        self.relayed_ids: set[str] = set()
+        """Endpoints that announced themselves again to other replicas; sent to entries
+        only, since replicas that relayed them to each other would keep a dead endpoint
+        alive forever."""
 
         self.replica: Replica
         self.on_change: Callable[[], None] = lambda: None
-        self.on_news: Callable[[Announcement], None] = lambda news: None
+        self.on_update: Callable[[Announcement], None] = lambda announcement: None
 
     # State machine
 
-    def apply(self, index: int, command: bytes) -> None:
+    def apply(self, index: int, encoded: bytes) -> None:
         """Apply one committed command."""
-        if command == BARRIER:
+        if encoded == BARRIER:
             return
         try:
-            order = decode_order(command)
+            command = decode_order(encoded)
         except ValueError as error:
             self._log.state("bad_command", index=index, error=str(error))
             return
-        is_changed = self.orders.apply(index, order)
+        is_changed = self.orders.apply(index, command)
         self._log.state(
             "order_applied",
             index=index,
-            kind=type(order).__name__.lower(),
-            subject=_subject(order),
+            kind=type(command).__name__.lower(),
+            subject=_subject(command),
             changed=is_changed,
         )
         self.on_change()
 
     def snapshot(self) -> bytes:
-        """Return the orders as bytes."""
+        """Return the replicated state as bytes."""
         return json.dumps(self.orders.encode()).encode()
 
     def restore(self, data: bytes) -> None:
-        """Replace the orders by a snapshot."""
+        """Replace the replicated state by a snapshot."""
         self.orders = decode_orders(json.loads(data))
         self.on_change()
 
     # Announcements
 
-    def take_announcement(self, announcement: Announcement) -> None:
-        """Keep an announcement, and pass it on when it says something new."""
+    def merge_announcement(self, announcement: Announcement) -> None:
+        """Merge an announcement; publish it if it changed the endpoint."""
         if self.registry.merge(announcement, self._clock()):
             self._log.state(
                 "endpoint_announced",
@@ -127,81 +129,83 @@
                 born_ms=announcement.born_ms,
                 sequence=announcement.sequence,
             )
-            self.on_news(announcement)
+            self.on_update(announcement)
 
-    def hear_relayed(self, endpoint_ids: Iterable[str]) -> None:
-        """Note which endpoints announced themselves again to another replica."""
+    def refresh_relayed(self, endpoint_ids: Iterable[str]) -> None:
+        """Record endpoints that announced themselves again to another replica."""
         now = self._clock()
         for endpoint_id in endpoint_ids:
             self.registry.hear(endpoint_id, now)
-            self.relayed_heard_ids.add(endpoint_id)
+            self.relayed_ids.add(endpoint_id)
 
     async def announce(
         self, announcement: Announcement, timeout_ms: float
     ) -> Result[None, ErrorKind]:
-        """Take an announcement; Ok for one that leaves once that is agreed on."""
-        self.heard_ids.add(announcement.endpoint_id)
-        self.take_announcement(announcement)
+        """Merge an announcement; if the endpoint is leaving, commit its departure."""
+        self.announced_ids.add(announcement.endpoint_id)
+        self.merge_announcement(announcement)
         if not announcement.is_leaving:
             return Ok(None)
-        order = Depart(announcement.endpoint_id, announcement.born_ms)
-        return await self.submit(order, timeout_ms)
+        command = Depart(announcement.endpoint_id, announcement.born_ms)
+        return await self.submit(command, timeout_ms)
 
     async def depart(
         self, endpoint_id: str, now_ms: int, timeout_ms: float
     ) -> Result[None, ErrorKind]:
-        """Agree that the present life of an endpoint leaves.
+        """Commit the departure of the current incarnation of an endpoint.
 
-        A replica that just started with an empty disk waits a moment for what the
-        others know. An endpoint that none of them knows is taken to have been born
-        before ``now_ms``, which is in ms since 1970; the clock may have jumped, so
-        that would bind the wrong lives of one that is known.
+        A replica that just started with an empty disk waits briefly for announcements
+        from the others. An endpoint unknown to all of them is assumed to have started
+        before ``now_ms``, in ms since 1970. For a known endpoint that assumption could
+        match the wrong incarnations, since the clock may have jumped.
         """
         deadline = add_ms(self._clock(), timeout_ms)
-        wait_until = min(deadline, add_ms(self._clock(), UNKNOWN_WAIT_MS))
+        wait_until = min(deadline, add_ms(self._clock(), UNKNOWN_ENDPOINT_WAIT_MS))
         while endpoint_id not in self.registry and self._clock() < wait_until:
-            await curio.sleep(UNKNOWN_CHECK_MS / 1000)
+            await curio.sleep(UNKNOWN_ENDPOINT_POLL_MS / 1000)
         known = self.registry.get(endpoint_id)
         born_ms = now_ms if known is None else known.born_ms
-        left_ms = remaining_ms(deadline, self._clock())
-        return await self.submit(Depart(endpoint_id, born_ms), left_ms)
+        remaining_timeout_ms = remaining_ms(deadline, self._clock())
+        return await self.submit(Depart(endpoint_id, born_ms), remaining_timeout_ms)
 
-    # Orders
+    # Commands
 
-    async def submit(self, order: Order, timeout_ms: float) -> Result[None, ErrorKind]:
-        """Bring an order into force.
+    async def submit(
+        self, command: Order, timeout_ms: float
+    ) -> Result[None, ErrorKind]:
+        """Commit a command.
 
-        Ok means that it is committed, or that what is committed makes it needless.
-        After an error it may still come into force. An evacuation is proposed once: a
-        second copy could come into force after it was withdrawn.
+        Ok means that it is committed, or redundant after what is committed. After an
+        error it may still be committed. An evacuation isn't retried after an unknown
+        outcome: a second copy could be applied after the evacuation was withdrawn.
         """
-        if self._is_settled(order):
+        if self._is_redundant(command):
             return Ok(None)
-        if isinstance(order, Configure) and self._is_founding():
+        if isinstance(command, Configure) and self._is_bootstrapping():
             return Error(ErrorKind.NOT_READY)
         deadline = add_ms(self._clock(), timeout_ms)
-        is_repeatable = not isinstance(order, Evacuate)
-        command = encode_order(order)
-        committed = await self._commit_index(command, deadline, is_repeatable)
+        is_repeatable = not isinstance(command, Evacuate)
+        encoded = encode_order(command)
+        committed = await self._commit_index(encoded, deadline, is_repeatable)
         return Error(committed.error) if committed.is_error() else Ok(None)
 
-    def _is_settled(self, order: Order) -> bool:
-        match order:
+    def _is_redundant(self, command: Order) -> bool:
+        match command:
             case Configure(version, _):
                 return version <= self.orders.version
             case Depart(endpoint_id, born_ms):
                 return self.orders.has_departed(endpoint_id, born_ms)
             case Evacuate():
-                # An older order to the contrary may be on its way to this replica.
+                # An earlier opposite command may not have reached this replica yet.
                 return False
 
-    def _is_founding(self) -> bool:
-        is_young = self._clock() < add_ms(self._started_at, FOUNDING_WAIT_MS)
+    def _is_bootstrapping(self) -> bool:
+        is_starting = self._clock() < add_ms(self._started_at, BOOTSTRAP_WAIT_MS)
         n_voters = len(self.replica.voters())
-        return is_young and self.orders.version == 0 and n_voters < self._n_members
+        return is_starting and self.orders.version == 0 and n_voters < self._n_members
 
     async def read(self, timeout_ms: float) -> Result[Orders, ErrorKind]:
-        """Return the orders after all that was acknowledged before the call."""
+        """Return the state, with every command acknowledged before the call applied."""
         deadline = add_ms(self._clock(), timeout_ms)
         committed = await self._commit_index(BARRIER, deadline)
         if committed.is_error():
@@ -215,10 +219,10 @@
     async def _commit_index(
         self, command: bytes, deadline: Instant, is_repeatable: bool = True
     ) -> Result[int, ErrorKind]:
-        """Commit a command through whoever leads; return its index.
+        """Commit a command through the current leader; return its index.
 
-        A repeatable command may be committed twice when an answer is lost. Any other
-        is proposed again only after ``NOT_LEADER``, which says that it wasn't.
+        A repeatable command may be committed twice when a response is lost. Any other
+        is retried only after ``NOT_LEADER``, which means that it wasn't committed.
         """
         error = ErrorKind.NOT_LEADER
         while (left_ms := remaining_ms(deadline, self._clock())) > 0.0:
@@ -249,10 +253,10 @@
         return Ok(index) if index else Error(ErrorKind.NOT_LEADER)
 
     async def handle_forwarded(self, command: bytes) -> bytes:
-        """Commit another replica's command; the answer is its index.
+        """Commit a command forwarded by another replica; respond with its index.
 
-        It is empty when the command won't be committed, and ``MAY_BE_COMMITTED`` when
-        that isn't known.
+        The response is empty when the command won't be committed, and
+        ``MAY_BE_COMMITTED`` when the outcome is unknown.
         """
         if not self.replica.is_leader():
             return b""
@@ -271,13 +275,13 @@
             client = self._clients[address] = RpcClient(*address)
         result = await client.call(protocol, payload, timeout_ms)
         if result.is_error():
-            # The connection may be dead without a reset.
+            # The connection may be half-open: dead without a reset.
             await client.close()
         return result
 
 
-def _subject(order: Order) -> str:
-    match order:
+def _subject(command: Order) -> str:
+    match command:
         case Configure(version, _):
             return str(version)
         case Evacuate(zone, is_out):
@@ -287,55 +291,55 @@
 
 
 class PeerView:
-    """Takes what the feeds of the other control replicas tell of endpoints.
+    """Merges endpoint updates from the feeds of the other control replicas.
 
-    It has the part of an entry's view that ``Feeds`` uses. Orders come through the
-    log, so they are never asked for here.
+    It implements the subset of an entry's view that ``Feeds`` uses. Commands arrive
+    through the log, so the replicated state is never requested from a feed.
     """
 
-    def __init__(self, book: OrderBook) -> None:
-        self._book = book
+    def __init__(self, cluster_state: ClusterState) -> None:
+        self._cluster_state = cluster_state
         self.connected_since: Instant | None = None
         self.n_connected = 0
         self.entry_ids: frozenset[str] = frozenset()
         self.fleet = FleetSize()
-        """What others count; this replica goes by its own readers."""
+        """Fleet size reported by others; this replica counts its own subscribers."""
 
     @property
     def orders(self) -> Orders:
-        """Orders with the highest index, so that none are asked for."""
+        """An empty state with the highest index, so that ``Feeds`` requests none."""
         return Orders(index=1 << 62)
 
     @property
     def control_hosts(self) -> frozenset[str]:
         """The hosts of the voters."""
-        voters = self._book.replica.voters()
+        voters = self._cluster_state.replica.voters()
         return frozenset(host_and_port(k)[0] for k in voters)
 
     @property
     def n_endpoints(self) -> int:
-        """The number of endpoints that are known, those that leave included."""
-        return len(self._book.registry)
+        """The number of known endpoints, including those that are leaving."""
+        return len(self._cluster_state.registry)
 
     def digests(self) -> list[int]:
-        """Return the digests of the endpoints that are known."""
-        return bucket_digests(self._book.registry.announcements())
+        """Return the bucket digests of the known endpoints."""
+        return bucket_digests(self._cluster_state.registry.announcements())
 
     def take_announcements(self, items: Iterable[tuple[list[object], float]]) -> None:
-        """Take announcements that another replica received."""
+        """Merge announcements that another replica received."""
         for fields, _ in items:
-            self._book.take_announcement(decode_announcement(fields))
+            self._cluster_state.merge_announcement(decode_announcement(fields))
 
     def hear(self, endpoint_ids: list[str]) -> None:
-        """Note repeated announcements, to tell them to entries."""
-        self._book.hear_relayed(endpoint_ids)
+        """Record repeated announcements, to send their ids to entries."""
+        self._cluster_state.refresh_relayed(endpoint_ids)
 
     def expire(self) -> None:
-        """Keep all; entries decide for themselves what is silent."""
+        """Keep all endpoints; entries expire unresponsive ones themselves."""
 
     def take_orders(self, fields: dict[str, Any], source: str) -> bool:
-        """Ignore orders, which come through the log."""
+        """Ignore the state, since commands arrive through the log."""
         return False
 
     def take_control_hosts(self, control_hosts: list[str]) -> None:
-        """Ignore them: the voters of the log are known here."""
+        """Ignore the hosts, since the log names the voters."""
--- a/pollenfold/control/peer_calls.py
+++ b/pollenfold/control/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls from a control replica to the others."""
+"""Sends agreement messages from a control replica to its peers."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 CALL_TIMEOUT_MS = 400.0
 MAX_CALLS_PER_PEER = 8
-"""Bounds the calls that wait for a peer that doesn't answer."""
+"""Bounds the pending calls to a peer that doesn't respond."""
 
 MAX_FAILED_CALLS = 3
-"""After as many failures the connection is opened anew.
+"""After this many consecutive failures the connection is reopened.
 
-The retransmission time of a connection across a long partition grows to minutes.
+The TCP retransmission timeout grows to minutes during a long partition.
 """
 
 
 class _Peer:
-    """The connection to one other replica."""
+    """The connection to one other replica, with its pending and failed calls."""
 
     def __init__(self, host: str, port: int) -> None:
         self.client = RpcClient(host, port)
@@ -32,11 +32,11 @@
 
 
 class PeerCalls:
-    """Sends messages to the other replicas; any of them may be lost.
+    """Sends messages to the other replicas, without delivery guarantee.
 
-    Each message is one remote call, and ``receive`` gets the message of its answer.
-    ``resolve`` gives the address of a replica id that ``addresses`` lacks; without it
-    the replicas are fixed.
+    Each message is one remote call; ``receive`` is called with the message in its
+    response. ``resolve`` returns the address of a replica id that isn't in
+    ``addresses``; without it the membership is fixed.
     """
 
     def __init__(
@@ -58,7 +58,10 @@
         return peer
 
     async def send(self, message: Message) -> None:
-        """Start a call with the message and return at once."""
+        """Start a call with the message without waiting for its response.
+
+        Drops the message when ``MAX_CALLS_PER_PEER`` calls are pending.
+        """
         peer = self._peer(message.recipient)
         if peer.n_calls < MAX_CALLS_PER_PEER:
             peer.n_calls += 1
--- a/pollenfold/control/replica.py
+++ b/pollenfold/control/replica.py
@@ -1,4 +1,4 @@
-"""A control replica: drives the replicated log over the network and the disk."""
+"""Runs one replica of the log: connects the consensus core to network and disk."""
 
 from __future__ import annotations
 
@@ -56,15 +56,15 @@
 FIRST_ELECTION_TIMEOUTS_MS = (60.0, 240.0)
 
 REOPEN_AFTER_MS = 1000.0
-"""Time between attempts to open the data folder after a failed write."""
+"""Time between attempts to reopen the data folder after a failed write."""
 
 
 @dataclass(frozen=True, slots=True)
 class DynamicMembers:
-    """Settings of a replica whose group agrees on its members in the log.
+    """Settings of a replica whose cluster agrees on its membership in the log.
 
-    ``resolve`` gives host and port of a replica id. ``n_target`` is the number of
-    voters to reach. A founder with an empty disk starts a group of its own.
+    ``resolve`` returns host and port of a replica id. ``n_target`` is the intended
+    number of voters. A founder with an empty disk bootstraps a new cluster.
     """
 
     resolve: Callable[[str], tuple[str, int]]
@@ -73,7 +73,7 @@
 
 
 class _Proposal:
-    """A command that waits to be applied; its result is set once."""
+    """A command that waits to be applied; its result is set exactly once."""
 
     def __init__(self, term: int) -> None:
         self.term = term
@@ -85,9 +85,9 @@
     """One replica of the log with its state machine.
 
     ``peers`` maps the id of every replica, this one included, to host and port.
-    ``apply`` gets each committed command with its index, in order; ``snapshot``
-    returns the state machine as bytes, and ``restore`` replaces it. A replica whose
-    data folder can't be written takes no part until it can be.
+    ``apply`` is called with each committed command and its index, in order;
+    ``snapshot`` returns the state machine as bytes, and ``restore`` replaces it. A
+    replica whose data folder isn't writable stays inactive until it is.
 
     For example, register ``replica.handle`` for ``Protocol.AGREEMENT`` in an
     ``RpcServer``, spawn ``replica.run`` and call ``await replica.propose(b"x", 500)``
@@ -133,7 +133,7 @@
         self._reopen_at = clock()
         self._applied_index = 0
         self._leader_since: Instant | None = None
-        self._has_heard_leader = False
+        self._has_seen_leader = False
         self._outbox: list[Message] = []
         self._proposals: dict[int, _Proposal] = {}
         self._resolved: list[_Proposal] = []
@@ -142,31 +142,31 @@
     # State
 
     def is_leader(self) -> bool:
-        """Return whether no other replica can be the leader now."""
+        """Return whether this replica leads and no other one can be leader now."""
         return self._state is not None and is_leader(self._state, self._clock())
 
     def leader_id(self) -> str | None:
-        """Return the leader that this replica last heard of in its term."""
+        """Return the leader of the current term, if this replica knows it."""
         return None if self._state is None else self._state.leader_id
 
     def leader_since(self) -> Instant | None:
-        """Return since when this replica is the leader, or None when it isn't."""
+        """Return when this replica became leader, or None when it isn't."""
         return self._leader_since if self.is_leader() else None
 
     def applied_index(self) -> int:
-        """Return the index of the last entry in the state machine."""
+        """Return the index of the last entry applied to the state machine."""
         return self._applied_index
 
     def voters(self) -> frozenset[str]:
-        """Return the voters of the latest members entry; empty when fixed."""
+        """Return the voters of the latest membership entry; empty when fixed."""
         return frozenset() if self._state is None else self._state.voters
 
-    def heard_at(self) -> Instant | None:
-        """Return when a leader was last heard, or the start of this replica."""
+    def last_leader_contact(self) -> Instant | None:
+        """Return when a leader last made contact, at first the start time."""
         return None if self._state is None else self._state.heard_at
 
     def status(self) -> dict[str, Any]:
-        """Return figures for operators."""
+        """Return the status fields for operators."""
         state = self._state
         if state is None:
             return {
@@ -192,24 +192,24 @@
     # Entry points
 
     async def handle(self, payload: bytes) -> bytes:
-        """Answer a message of another replica; empty when there is no answer."""
+        """Handle a message of another replica; return its response, or no bytes."""
         decoded = decode_message(payload)
         if decoded.is_error():
             logger.warning("event=bad_message detail={!r}", decoded.error.detail)
             return b""
         message = decoded.ok
-        sent = self._step(Receive(message))
-        answers = [m for m in sent if _is_answer(m, message)]
-        self._outbox += [m for m in sent if not _is_answer(m, message)]
+        messages = self._step(Receive(message))
+        responses = [m for m in messages if _is_response(m, message)]
+        self._outbox += [m for m in messages if not _is_response(m, message)]
         await self._flush()
-        return encode_message(answers[0]) if answers else b""
+        return encode_message(responses[0]) if responses else b""
 
     def join(self, replica_id: str) -> None:
-        """Let a replica that isn't a member receive the log from this leader."""
+        """Add a replica as a learner, which receives the log from this leader."""
         self._outbox += self._step(Join(replica_id))
 
     def _change_members(self) -> None:
-        """Propose the next change of the voters, if one is due."""
+        """Propose the next membership change, if one is due."""
         if self._members is None or self._state is None:
             return
         change = next_members(self._state, self._members.n_target, self._clock())
@@ -276,29 +276,29 @@
     # Steps
 
     def _sleep_ms(self) -> float:
-        """Return the time to the next tick, at most one heartbeat.
+        """Return the time to the next tick, at most one heartbeat interval.
 
-        A message may make this replica the leader, which then needs a tick sooner
-        than a follower does.
+        A message may make this replica the leader, which needs ticks more often than
+        a follower.
         """
         wake_at = self._reopen_at if self._state is None else self._state.wake_at
         return min(max(wake_at - self._clock(), 1.0), HEARTBEAT_MS)
 
     def _timeout_ms(self) -> float:
-        if self._members is not None and not self._has_heard_leader:
-            # All replicas may have restarted together, and nothing is served until
-            # one of them leads.
+        if self._members is not None and not self._has_seen_leader:
+            # All replicas may have restarted together, and no request is served until
+            # one of them is elected, so the first timeouts are short.
             return self._random.uniform(*FIRST_ELECTION_TIMEOUTS_MS)
         return self._random.uniform(ELECTION_TIMEOUT_MIN_MS, ELECTION_TIMEOUT_MAX_MS)
 
     def _open(self) -> None:
-        """Start from the data folder, as after a restart of the process."""
+        """Load the state from the data folder, as after a restart of the process."""
         try:
             storage = AgreementStorage(
                 self._data_folder, self._replica_id, self._open_journal
             )
         except OSError as error:
-            self._fail(str(error))
+            self._fail_storage(str(error))
             return
         self._storage = storage
         members = self._members
@@ -309,7 +309,7 @@
             for action in (stored, PersistLog(log)):
                 result = storage.persist(action)
                 if result.is_error():
-                    self._fail(result.error.detail)
+                    self._fail_storage(result.error.detail)
                     return
             logger.info("event=group_founded replica={}", self._replica_id)
         self._state = initial_state(
@@ -327,8 +327,8 @@
         if snapshot.index > self._applied_index:
             self._restore_from(snapshot.index, snapshot.data)
 
-    def _fail(self, detail: str) -> None:
-        """Take no part, since what this replica would acknowledge isn't durable."""
+    def _fail_storage(self, detail: str) -> None:
+        """Become inactive, since acknowledged entries wouldn't be durable."""
         logger.error("event=storage_failed detail={!r}", detail)
         if self._storage is not None:
             self._storage.close()
@@ -339,27 +339,27 @@
             self._resolve(index, Error(ErrorKind.STORAGE_FAILED))
 
     def _step(self, event: Event) -> list[Message]:
-        """Advance the log; return the messages, whose premises are durable."""
+        """Process an event; return the messages to send once its writes are durable."""
         if self._state is None:
             return []
         before = self._state
         state, actions = step(before, event, self._clock(), self._timeout_ms())
         self._state = state
-        sent = self._perform(actions)
+        messages = self._perform(actions)
         if self._state is None:
             return []
         self._observe(before, state)
         n_entries = self._applied_index - state.log.snapshot.index
         if n_entries >= ENTRIES_PER_SNAPSHOT and not isinstance(event, Compact):
-            sent += self._step(Compact(self._applied_index, self._snapshot_data()))
-        return [] if self._state is None else sent
+            messages += self._step(Compact(self._applied_index, self._snapshot_data()))
+        return [] if self._state is None else messages
 
     def _perform(self, actions: list[Action]) -> list[Message]:
-        sent = []
+        messages = []
         for action in actions:
             match action:
                 case Send(message):
-                    sent.append(message)
+                    messages.append(message)
                 case Apply(entries):
                     for entry in entries:
                         self._apply_entry(entry.index, entry.term, entry.command)
@@ -369,17 +369,17 @@
                     assert self._storage is not None
                     result = self._storage.persist(action)
                     if result.is_error():
-                        self._fail(result.error.detail)
+                        self._fail_storage(result.error.detail)
                         return []
-        return sent
+        return messages
 
     def _apply_entry(self, index: int, term: int, command: bytes) -> None:
-        # After the data folder was opened again, entries that this process has
-        # applied are committed a second time.
+        # After the data folder was reopened, entries that this process has already
+        # applied are committed again.
         if index > self._applied_index:
             voters = decode_members(command)
             if voters is not None:
-                self._take_voters(voters, index)
+                self._set_voters(voters, index)
             elif command:
                 self._apply(index, command)
             self._applied_index = index
@@ -392,11 +392,11 @@
         if index > self._applied_index:
             if self._members is not None:
                 voters, data = unwrap_snapshot(data)
-                self._take_voters(voters, index)
+                self._set_voters(voters, index)
             self._restore(data)
             self._applied_index = index
 
-    def _take_voters(self, voters: frozenset[str], index: int) -> None:
+    def _set_voters(self, voters: frozenset[str], index: int) -> None:
         self._voters = voters
         logger.info(
             "event=members_changed index={} voters={}", index, ",".join(sorted(voters))
@@ -407,8 +407,8 @@
         return data if self._members is None else wrap_snapshot(self._voters, data)
 
     def _observe(self, before: State, state: State) -> None:
-        """Log changes of role, and answer proposals that lost their leader."""
-        self._has_heard_leader |= state.leader_id is not None
+        """Log role changes; fail pending proposals when this replica doesn't lead."""
+        self._has_seen_leader |= state.leader_id is not None
         if (state.role, state.term) != (before.role, before.term):
             logger.info(
                 "event=role_changed replica={} role={} term={}",
@@ -433,10 +433,10 @@
     # Messages
 
     async def _flush(self) -> None:
-        """Answer proposals and send messages.
+        """Complete resolved proposals and send queued messages.
 
-        The task may belong to a connection that closes now; the proposals and
-        messages belong to others.
+        Cancellation is disabled: this task may belong to a connection that is closing,
+        while the proposals and messages belong to other tasks.
         """
         resolved, self._resolved = self._resolved, []
         outbox, self._outbox = self._outbox, []
@@ -447,11 +447,11 @@
                 await self._calls.send(message)
 
     async def _receive(self, message: Message) -> None:
-        """Take the answer to a request as an event."""
+        """Process the response to a request as an event."""
         self._outbox += self._step(Receive(message))
         await self._flush()
 
 
-def _is_answer(message: Message, request: Message) -> bool:
+def _is_response(message: Message, request: Message) -> bool:
     is_request = isinstance(message.body, Request)
     return message.recipient == request.sender and not is_request
--- a/pollenfold/tests/control/test_cluster.py
+++ b/pollenfold/tests/control/test_cluster.py
@@ -1,4 +1,4 @@
-"""Control replicas that find each other from seeds, with their API and feeds."""
+"""Control replicas that discover each other from seeds, with their API and feeds."""
 
 import json
 from dataclasses import dataclass
@@ -25,14 +25,14 @@
 
 
 @dataclass
-class Running:
+class RunningReplica:
     node: ClusterNode
     api: ControlApi
     tasks: list
 
 
 class Cluster:
-    """Replicas on loopback addresses 127.0.0.x, each with a folder of its own."""
+    """Replicas on loopback addresses 127.0.0.x, each with its own data folder."""
 
     def __init__(self, folder: Path, ports: tuple[int, int]):
         self.folder = folder
@@ -58,7 +58,7 @@
             n_members=3,
         )
         node = ClusterNode(settings)
-        node.read_cache()
+        node.load_endpoints()
         tasks = [
             await curio.spawn(node.rpc.serve, host, self.peer_port, daemon=True),
             await curio.spawn(
@@ -68,17 +68,17 @@
             await curio.spawn(node.feed_server.run, daemon=True),
             await curio.spawn(node.feeds.run, daemon=True),
             await curio.spawn(node.join, daemon=True),
-            await curio.spawn(node.keep_cache, daemon=True),
+            await curio.spawn(node.persist_endpoints, daemon=True),
         ]
         api = ControlApi(node, 80, frozenset({"a", "b"}))
-        self.running[number] = Running(node, api, tasks)
+        self.running[number] = RunningReplica(node, api, tasks)
 
     async def stop(self, number):
         for task in self.running.pop(number).tasks:
             await task.cancel()
 
-    async def formed(self):
-        """Wait until all agree that exactly the running replicas are the voters."""
+    async def wait_until_formed(self):
+        """Wait until all running replicas agree that exactly they are the voters."""
         async with curio.timeout_after(10):
             while True:
                 nodes = [running.node for running in self.running.values()]
@@ -99,14 +99,14 @@
 
 @pytest.fixture
 def with_cluster(run, tmp_path, unused_ports):
-    """Return a function that runs ``body(cluster)`` with three replicas formed."""
+    """Return a function that runs ``body(cluster)`` on a cluster of three replicas."""
 
     def run_body(body):
         async def main():
             cluster = Cluster(tmp_path, unused_ports)
             for number in (1, 2, 3):
                 await cluster.start(number, is_first=True)
-            await cluster.formed()
+            await cluster.wait_until_formed()
             try:
                 await body(cluster)
             finally:
@@ -132,8 +132,8 @@
     return next(k for k in cluster.running if k != cluster.leader())
 
 
-def test_order_through_any_replica_is_read_through_any_other(with_cluster):
-    """Guards against a replica that answers with an older configuration."""
+def test_command_through_any_replica_is_read_through_any_other(with_cluster):
+    """Guards against a replica that responds with an outdated configuration."""
 
     async def body(cluster):
         for version, number in ((7, follower(cluster)), (8, cluster.leader())):
@@ -148,7 +148,7 @@
 
 
 def test_older_and_equal_versions_are_acknowledged_and_change_nothing(with_cluster):
-    """Guards against other content that is obeyed under a version that is held."""
+    """Guards against applying different content under a version already in use."""
 
     async def body(cluster):
         await cluster.call(1, b"PUT", "/-/config", CONFIGURATION)
@@ -185,46 +185,46 @@
     with_cluster(body)
 
 
-def test_invalid_order_is_refused_and_changes_nothing(with_cluster):
-    """Guards against an invalid configuration that comes into force."""
+def test_invalid_command_is_rejected_and_changes_nothing(with_cluster):
+    """Guards against an invalid configuration that is committed."""
 
     async def body(cluster):
         put = await cluster.call(1, b"PUT", "/-/config", {"version": 9})
         assert put.status == 400
         assert (await cluster.call(1, b"GET", "/-/config")).status == 503
         assert (await cluster.call(1, b"POST", "/-/evacuations/x")).status == 404
-        odd = await cluster.call(1, b"PUT", "/-/instances/i-1", {"address": 5})
-        assert odd.status == 400
+        malformed = await cluster.call(1, b"PUT", "/-/instances/i-1", {"address": 5})
+        assert malformed.status == 400
         assert (await cluster.call(1, b"PATCH", "/-/config")).status == 404
 
     with_cluster(body)
 
 
 def test_minority_acknowledges_and_reads_nothing(with_cluster):
-    """Guards against a replica without a majority that answers as if it had one."""
+    """Guards against a replica that acknowledges or reads without a majority."""
 
     async def body(cluster):
         await cluster.call(1, b"PUT", "/-/config", CONFIGURATION)
-        left = cluster.leader()
+        isolated = cluster.leader()
         for number in list(cluster.running):
-            if number != left:
+            if number != isolated:
                 await cluster.stop(number)
         newer = {**CONFIGURATION, "version": 8}
-        assert (await cluster.call(left, b"PUT", "/-/config", newer)).status == 503
-        assert (await cluster.call(left, b"GET", "/-/config")).status == 503
-        assert (await cluster.call(left, b"POST", "/-/evacuations/a")).status == 503
+        assert (await cluster.call(isolated, b"PUT", "/-/config", newer)).status == 503
+        assert (await cluster.call(isolated, b"GET", "/-/config")).status == 503
+        assert (await cluster.call(isolated, b"POST", "/-/evacuations/a")).status == 503
         leaving = {
             **ANNOUNCEMENT,
             "status": {**ANNOUNCEMENT["status"], "state": "draining"},
         }
-        drain = await cluster.call(left, b"PUT", "/-/instances/i-1", leaving)
+        drain = await cluster.call(isolated, b"PUT", "/-/instances/i-1", leaving)
         assert drain.status == 503
 
     with_cluster(body)
 
 
 def test_all_replicas_restart_and_hold_what_was_acknowledged(with_cluster):
-    """Guards against orders or endpoints that a restart of all replicas loses."""
+    """Guards against a restart of all replicas that loses commands or endpoints."""
 
     async def body(cluster):
         await cluster.call(1, b"PUT", "/-/config", CONFIGURATION)
@@ -236,7 +236,7 @@
             await cluster.stop(number)
         for number in (1, 2, 3):
             await cluster.start(number)
-        await cluster.formed()
+        await cluster.wait_until_formed()
         got = await cluster.call(2, b"GET", "/-/config")
         assert json.loads(got.body) == CONFIGURATION
         for running in cluster.running.values():
@@ -247,8 +247,8 @@
     with_cluster(body)
 
 
-def test_replica_with_a_lost_disk_comes_back_as_a_new_member(with_cluster):
-    """Guards against a lost disk that takes an acknowledged order along."""
+def test_replica_with_a_lost_disk_rejoins_as_a_new_member(with_cluster):
+    """Guards against losing an acknowledged command with the disk of one replica."""
 
     async def body(cluster):
         await cluster.call(1, b"PUT", "/-/config", CONFIGURATION)
@@ -257,7 +257,7 @@
         await cluster.stop(lost)
         cluster.folder = cluster.folder / "new"
         await cluster.start(lost)
-        await cluster.formed()
+        await cluster.wait_until_formed()
         after = cluster.running[lost].node.replica_id
         assert after != before
         assert after in cluster.running[lost].node.replica.voters()
@@ -267,8 +267,8 @@
     with_cluster(body)
 
 
-def test_replica_that_is_no_member_refers_callers(with_cluster):
-    """Guards against an acknowledgement by a machine that waits for a place."""
+def test_replica_that_is_no_member_redirects_callers(with_cluster):
+    """Guards against an acknowledgement by a replica that isn't a voter yet."""
 
     async def body(cluster):
         await cluster.start(4)
@@ -276,16 +276,16 @@
         async with curio.timeout_after(5):
             while node.leader_host() is None:
                 await curio.sleep(0.02)
-        beat = await cluster.call(4, b"PUT", "/-/instances/i-1", ANNOUNCEMENT)
-        assert beat.status == 307
-        location = dict(beat.headers)[b"location"].decode()
+        response = await cluster.call(4, b"PUT", "/-/instances/i-1", ANNOUNCEMENT)
+        assert response.status == 307
+        location = dict(response.headers)[b"location"].decode()
         assert location == f"http://127.0.0.{cluster.leader()}:80/-/instances/i-1"
 
     with_cluster(body)
 
 
 async def entry_view(cluster, name="e1", write=lambda data: None):
-    """Return the view of an entry that reads the feeds, and the entry's tasks."""
+    """Return the view of an entry that subscribes to the feeds, and its task."""
 
     def write_all(data):
         write(data)
@@ -304,40 +304,42 @@
     return view, await curio.spawn(feeds.run, daemon=True)
 
 
-async def until(condition, timeout_s=5.0):
+async def wait_until(condition, timeout_s=5.0):
     async with curio.timeout_after(timeout_s):
         while not condition():
             await curio.sleep(0.01)
 
 
-def test_entry_learns_everything_from_the_feeds(with_cluster):
-    """Guards against an entry that misses an order, an endpoint or a departure."""
+def test_entry_receives_all_state_from_the_feeds(with_cluster):
+    """Guards against an entry that misses a command, an endpoint or a departure."""
 
     async def body(cluster):
         view, _ = await entry_view(cluster)
-        await until(lambda: view.control_hosts == {f"127.0.0.{k}" for k in (1, 2, 3)})
+        await wait_until(
+            lambda: view.control_hosts == {f"127.0.0.{k}" for k in (1, 2, 3)}
+        )
         await cluster.call(3, b"PUT", "/-/config", CONFIGURATION)
-        await until(lambda: view.configuration is not None, 1.5)
+        await wait_until(lambda: view.configuration is not None, 1.5)
         await cluster.call(2, b"PUT", "/-/instances/i-1", ANNOUNCEMENT)
-        await until(lambda: len(view.by_service.get("booking", ())) == 1, 1.5)
+        await wait_until(lambda: len(view.by_service.get("booking", ())) == 1, 1.5)
         assert view.fleet.get(system_clock()) >= 1
         drain = await cluster.call(1, b"DELETE", "/-/instances/i-1")
         assert drain.status == 200
-        await until(lambda: not view.by_service.get("booking"), 1.5)
+        await wait_until(lambda: not view.by_service.get("booking"), 1.5)
         late = {**ANNOUNCEMENT, "status": {**ANNOUNCEMENT["status"], "sequence": 99}}
         await cluster.call(2, b"PUT", "/-/instances/i-1", late)
         await curio.sleep(0.2)
         assert not view.by_service.get("booking")
         reborn = {**late, "born": ANNOUNCEMENT["born"] + 1}
         await cluster.call(2, b"PUT", "/-/instances/i-1", reborn)
-        await until(lambda: len(view.by_service.get("booking", ())) == 1, 1.5)
+        await wait_until(lambda: len(view.by_service.get("booking", ())) == 1, 1.5)
 
     with_cluster(body)
 
 
-def test_entry_takes_its_news_elsewhere_when_its_source_is_lost(with_cluster):
-    """Guards against an entry that hears of no endpoint any more, or forgets those it
-    knows, because the one replica that told it of them is gone."""
+def test_entry_fails_over_when_its_update_source_is_lost(with_cluster):
+    """Guards against an entry that receives no more endpoints, or drops the known ones,
+    after the loss of the replica that was its update source."""
 
     async def body(cluster):
         lines = []
@@ -351,29 +353,30 @@
                 if "event=news_source" in line
             ]
 
-        await until(lambda: len(view.control_hosts) == 3)
+        await wait_until(lambda: len(view.control_hosts) == 3)
         await cluster.call(2, b"PUT", "/-/instances/i-1", ANNOUNCEMENT)
-        await until(lambda: "i-1" in view.endpoints)
+        await wait_until(lambda: "i-1" in view.endpoints)
         view._log.flush()
-        # Replicas that start together hear each other one by one.
+        # Replicas that start together connect to each other one by one, so the entry
+        # may change its update source once.
         assert len(sources()) <= 2
         lost = int(sources()[-1].rpartition(".")[2])
         await cluster.stop(lost)
         other = next(k for k in cluster.running if k != lost)
         fields = {**ANNOUNCEMENT, "address": "10.0.0.10:8080"}
         await cluster.call(other, b"PUT", "/-/instances/i-2", fields)
-        await until(lambda: "i-2" in view.endpoints, 4.0)
+        await wait_until(lambda: "i-2" in view.endpoints, 4.0)
         assert "i-1" in view.endpoints
 
     with_cluster(body)
 
 
-def test_entry_goes_on_when_a_replica_is_lost(with_cluster):
+def test_entry_keeps_working_when_a_replica_is_lost(with_cluster):
     """Guards against an entry that depends on one replica."""
 
     async def body(cluster):
         view, _ = await entry_view(cluster)
-        await until(lambda: len(view.control_hosts) == 3)
+        await wait_until(lambda: len(view.control_hosts) == 3)
         await cluster.stop(cluster.leader())
         async with curio.timeout_after(8):
             while True:
@@ -382,23 +385,23 @@
                 )
                 if put.status == 200:
                     break
-        await until(lambda: view.configuration is not None, 2.0)
+        await wait_until(lambda: view.configuration is not None, 2.0)
 
     with_cluster(body)
 
 
 def test_zone_that_returns_is_unconfirmed(with_cluster):
-    """Guards against full load on endpoints that turned cold while out."""
+    """Guards against full load on endpoints that turned cold during an evacuation."""
 
     async def body(cluster):
         view, _ = await entry_view(cluster)
         await cluster.call(1, b"PUT", "/-/config", CONFIGURATION)
         await cluster.call(1, b"PUT", "/-/instances/i-1", ANNOUNCEMENT)
-        await until(lambda: len(view.by_service.get("booking", ())) == 1)
+        await wait_until(lambda: len(view.by_service.get("booking", ())) == 1)
         await cluster.call(1, b"POST", "/-/evacuations/a")
-        await until(lambda: not view.by_service.get("booking"), 1.5)
+        await wait_until(lambda: not view.by_service.get("booking"), 1.5)
         await cluster.call(1, b"DELETE", "/-/evacuations/a")
-        await until(lambda: len(view.by_service.get("booking", ())) == 1, 1.5)
+        await wait_until(lambda: len(view.by_service.get("booking", ())) == 1, 1.5)
         endpoint = view.by_service["booking"][0]
         assert endpoint.is_cold(system_clock())
         view.confirm(endpoint, 0.0)
@@ -407,8 +410,8 @@
     with_cluster(body)
 
 
-def test_garbage_on_the_feed_ends_one_connection_only(with_cluster):
-    """Guards against bytes of another program that end the daemon."""
+def test_malformed_feed_input_closes_only_its_connection(with_cluster):
+    """Guards against input from an unrelated client that stops the daemon."""
 
     async def body(cluster):
         sock = await curio.open_connection("127.0.0.1", cluster.feed_port)
@@ -417,13 +420,13 @@
         logs = [running.node.log._buffer for running in cluster.running.values()]
         assert sum(log.count(b"event=feed_rejected") for log in logs) == 1
         view, _ = await entry_view(cluster)
-        await until(lambda: len(view.control_hosts) == 3)
+        await wait_until(lambda: len(view.control_hosts) == 3)
 
     with_cluster(body)
 
 
-def test_orders_are_settled_without_the_log(with_cluster):
-    """Guards against a resend that needs a majority though it was acknowledged."""
+def test_redundant_commands_are_acknowledged_without_a_majority(with_cluster):
+    """Guards against a retry of an acknowledged command that needs a majority."""
 
     async def body(cluster):
         node = cluster.running[1].node
@@ -431,10 +434,10 @@
         await node.book.announce(announcement(is_leaving=True), 900)
         for number in (2, 3):
             await cluster.stop(number)
-        book = node.book
-        assert (await book.submit(Configure(7, "{}"), 200)).is_ok()
-        assert (await book.submit(Depart("i-1", 1000), 200)).is_ok()
-        result = await book.submit(Evacuate("a", False), 200)
+        cluster_state = node.book
+        assert (await cluster_state.submit(Configure(7, "{}"), 200)).is_ok()
+        assert (await cluster_state.submit(Depart("i-1", 1000), 200)).is_ok()
+        result = await cluster_state.submit(Evacuate("a", False), 200)
         assert result.error in (ErrorKind.NO_QUORUM, ErrorKind.NOT_LEADER)
 
     with_cluster(body)
@@ -444,43 +447,47 @@
 
 
 @pytest.mark.parametrize("step_ms", [-5_000, 60_000])
-def test_leave_at_a_replica_that_lost_its_disk_binds_the_life_that_leaves(
+def test_departure_at_a_replica_that_lost_its_disk_applies_to_one_incarnation(
     with_cluster, step_ms
 ):
-    """Guards against a server that left and is in use again, or a new life of it that
-    gets no work, since a replica knew it only by a clock that had jumped."""
+    """Guards against a departed server that is used again, or a new incarnation that
+    gets no requests: the replica lost its disk and used its clock, which had jumped,
+    in place of the start time of the incarnation."""
 
     async def body(cluster):
         await cluster.call(1, b"PUT", "/-/instances/i-1", ANNOUNCEMENT)
-        books = [running.node.book for running in cluster.running.values()]
-        await until(lambda: all(book.registry.get("i-1") for book in books))
+        cluster_states = [running.node.book for running in cluster.running.values()]
+        await wait_until(
+            lambda: all(
+                cluster_state.registry.get("i-1") for cluster_state in cluster_states
+            )
+        )
         await cluster.stop(3)
         cluster.folder = cluster.folder / "new"
         await cluster.start(3)
-        book = cluster.running[3].node.book
-        assert book.registry.get("i-1") is None
-        left = await book.depart("i-1", BORN_MS + step_ms, 5_000)
-        assert left.is_ok()
-        await until(lambda: "i-1" in book.orders.departures)
-        assert book.orders.has_departed("i-1", BORN_MS)
-        assert not book.orders.has_departed("i-1", BORN_MS + 1)
+        cluster_state = cluster.running[3].node.book
+        assert cluster_state.registry.get("i-1") is None
+        departure = await cluster_state.depart("i-1", BORN_MS + step_ms, 5_000)
+        assert departure.is_ok()
+        await wait_until(lambda: "i-1" in cluster_state.orders.departures)
+        assert cluster_state.orders.has_departed("i-1", BORN_MS)
+        assert not cluster_state.orders.has_departed("i-1", BORN_MS + 1)
 
     with_cluster(body)
 
 
-def test_server_that_left_stays_out_when_everything_restarts_from_old_lists(
+def test_departed_server_stays_out_after_a_restart_from_stale_caches(
     with_cluster,
 ):
-    """Guards against a server that left, or a zone that is out, in use again after a
-    restart: the lists on disk still hold the server, and an announcement of it that
-    was delayed comes afterwards."""
+    """Guards against a departed server that is used again after a restart: the endpoint
+    caches on disk still list it, and a delayed announcement of it arrives later."""
 
     async def body(cluster):
         await cluster.call(1, b"PUT", "/-/config", CONFIGURATION)
         await cluster.call(1, b"PUT", "/-/instances/i-1", ANNOUNCEMENT)
         other = {**ANNOUNCEMENT, "address": "10.0.0.9:80"}
         await cluster.call(2, b"PUT", "/-/instances/i-2", other)
-        # Each replica writes its list, in which the server still serves.
+        # Each replica writes its endpoint cache while the server is still active.
         await curio.sleep(1.3)
         assert (await cluster.call(2, b"DELETE", "/-/instances/i-1")).status == 200
         for number in (1, 2, 3):
@@ -491,10 +498,10 @@
         seen = set()
 
         def has_settled():
-            seen.update(e.announcement.endpoint_id for e in in_work(view))
+            seen.update(e.announcement.endpoint_id for e in routable_endpoints(view))
             return len(view.control_hosts) == 3 and "i-2" in seen
 
-        await until(has_settled)
+        await wait_until(has_settled)
         status = {**ANNOUNCEMENT["status"], "sequence": 99}
         late = {**ANNOUNCEMENT, "status": status}
         await cluster.call(3, b"PUT", "/-/instances/i-1", late)
@@ -505,31 +512,31 @@
     with_cluster(body)
 
 
-def in_work(view):
-    """Return the endpoints that an entry with a configuration sends to."""
+def routable_endpoints(view):
+    """Return the endpoints that an entry routes to; none if unconfigured."""
     if view.configuration is None:
         return []
     return [e for endpoints in view.by_service.values() for e in endpoints]
 
 
 @pytest.mark.parametrize("is_lost_at_leader", [False, True])
-def test_order_whose_answer_was_lost_is_not_sent_out_twice(
+def test_evacuation_with_a_lost_response_is_not_proposed_twice(
     with_cluster, is_lost_at_leader
 ):
-    """Guards against an evacuation that comes back into force after it was withdrawn,
-    since a replica proposed it again when it had no answer to the first time."""
+    """Guards against an evacuation that is applied again after it was withdrawn,
+    because a replica retried the proposal when the first response was lost."""
 
     async def body(cluster):
-        here, leader = follower(cluster), cluster.leader()
-        book = cluster.running[here].node.book
-        leading = cluster.running[leader].node
-        call, propose = book.call, leading.replica.propose
+        follower_number, leader_number = follower(cluster), cluster.leader()
+        cluster_state = cluster.running[follower_number].node.book
+        leader = cluster.running[leader_number].node
+        call, propose = cluster_state.call, leader.replica.propose
         n_lost = []
 
         async def withdraw():
             n_lost.append(1)
-            back = await leading.book.submit(Evacuate("a", False), 2_000)
-            assert back.is_ok()
+            withdrawal = await leader.book.submit(Evacuate("a", False), 2_000)
+            assert withdrawal.is_ok()
 
         async def losing_call(*arguments):
             result = await call(*arguments)
@@ -540,19 +547,19 @@
 
         async def losing_propose(*arguments):
             result = await propose(*arguments)
-            leading.replica.propose = propose
+            leader.replica.propose = propose
             await withdraw()
             assert result.is_ok()
             return Error(ErrorKind.NO_QUORUM)
 
         if is_lost_at_leader:
-            leading.replica.propose = losing_propose
+            leader.replica.propose = losing_propose
         else:
-            book.call = losing_call
-        out = await book.submit(Evacuate("a", True), 1_500)
+            cluster_state.call = losing_call
+        evacuation = await cluster_state.submit(Evacuate("a", True), 1_500)
         assert n_lost
-        assert out.is_error()
-        await leading.book.read(2_000)
-        assert leading.book.orders.evacuated == frozenset()
+        assert evacuation.is_error()
+        await leader.book.read(2_000)
+        assert leader.book.orders.evacuated == frozenset()
 
     with_cluster(body)
--- a/pollenfold/tests/control/test_feed_server.py
+++ b/pollenfold/tests/control/test_feed_server.py
@@ -1,4 +1,4 @@
-"""What a control replica tells its readers, and how much of it."""
+"""Which lines a control replica sends its feed subscribers, and how many."""
 
 import json
 import random
@@ -7,7 +7,7 @@
 import pytest
 
 from pollenfold.control.feed_server import FeedServer
-from pollenfold.control.order_book import OrderBook
+from pollenfold.control.order_book import ClusterState
 from pollenfold.core.digests import bucket_digests
 from pollenfold.core.orders import Evacuate, encode_order
 from pollenfold.core.registry import Announcement
@@ -17,21 +17,21 @@
 from pollenfold.wire.lines import encode_line
 
 
-class Reader:
-    """A connection to the feed that keeps all lines."""
+class Subscriber:
+    """A connection to the feed that stores all received lines."""
 
     def __init__(self, name, zone, role):
         self.hello = {"name": name, "zone": zone, "role": role, "news": 0}
         self.lines = []
         self.n_bytes = 0
 
-    async def open(self, port, takes_news):
+    async def open(self, port, wants_updates):
         self.sock = await open_connection("127.0.0.1", port)
         await self.send(self.hello)
-        if takes_news:
+        if wants_updates:
             await self.send({"news": 1})
         self.task = await curio.spawn(self._read, daemon=True)
-        await until(lambda: self.lines)
+        await wait_until(lambda: self.lines)
 
     async def send(self, message):
         await self.sock.sendall(encode_line(message))
@@ -48,16 +48,16 @@
         await self.sock.close()
 
     def endpoint_ids(self):
-        found = [
+        announcements = [
             fields for line in self.lines for fields in line.get("announcements", ())
         ]
-        return {Announcement(*fields).endpoint_id for fields, _ in found}
+        return {Announcement(*fields).endpoint_id for fields, _ in announcements}
 
-    def heard(self):
+    def repeated_ids(self):
         return {name for line in self.lines for name in line.get("heard", ())}
 
     def entries(self):
-        """Return the names of the entries as the lines add up."""
+        """Return the entry names that the received lines add up to."""
         names = set()
         for line in self.lines:
             names = set(line.get("entries", names)) | set(line.get("joined", ()))
@@ -66,14 +66,14 @@
 
 
 class Peers:
-    """What the feed server asks of the other replicas: two are heard."""
+    """Stands in for the peer view of the feed server: connected to two replicas."""
 
     control_hosts = frozenset(["h"])
     n_connected = 2
     connected_since = 0.0
 
 
-async def until(condition):
+async def wait_until(condition):
     """Wait for a condition; fail after 5 s."""
     async with curio.timeout_after(5):
         while not condition():
@@ -87,22 +87,22 @@
     def run_body(body):
         async def main():
             log = EventLog("c1", system_clock, write=len)
-            book = OrderBook(3, system_clock, log)
-            server = FeedServer("a", book, Peers(), system_clock, log)
+            cluster_state = ClusterState(3, system_clock, log)
+            server = FeedServer("a", cluster_state, Peers(), system_clock, log)
             sock = curio.tcp_server_socket("127.0.0.1", 0)
             port = sock.getsockname()[1]
             await curio.spawn(
-                curio.network.run_server, sock, server._serve_reader, daemon=True
+                curio.network.run_server, sock, server._serve_subscriber, daemon=True
             )
             await curio.spawn(server.run, daemon=True)
 
-            async def connect(name, zone="a", role="entry", takes_news=True):
-                reader = Reader(name, zone, role)
-                await reader.open(port, takes_news)
-                return reader
+            async def connect(name, zone="a", role="entry", wants_updates=True):
+                subscriber = Subscriber(name, zone, role)
+                await subscriber.open(port, wants_updates)
+                return subscriber
 
             connect.port = port
-            await body(book, connect)
+            await body(cluster_state, connect)
 
         run(main)
 
@@ -113,49 +113,49 @@
     return Announcement(endpoint_id, "s", "10.0.0.1", port, "a", 4, False, 0.0, 1, 1)
 
 
-def test_news_go_to_replicas_and_to_entries_that_take_them_here(with_feed):
-    """Guards against copies of each announcement from every replica to every entry."""
+def test_updates_go_to_replicas_and_to_entries_that_subscribed(with_feed):
+    """Guards against every replica sending each announcement to every entry."""
 
-    async def body(book, connect):
+    async def body(cluster_state, connect):
         near = await connect("near", "a")
-        far = await connect("far", "b", takes_news=False)
-        peer = await connect("peer", "b", "control", takes_news=False)
-        book.take_announcement(announcement("i-1"))
-        book.heard_ids.add("i-1")
-        book.hear_relayed(["i-2"])
-        await until(lambda: near.endpoint_ids() == {"i-1"})
-        await until(lambda: peer.endpoint_ids() == {"i-1"})
-        await until(lambda: any("heard" in line for line in near.lines))
-        assert near.heard() == {"i-1", "i-2"}
-        # What replicas heard of others would keep a dead endpoint alive for ever.
-        assert peer.heard() == {"i-1"}
+        far = await connect("far", "b", wants_updates=False)
+        peer = await connect("peer", "b", "control", wants_updates=False)
+        cluster_state.merge_announcement(announcement("i-1"))
+        cluster_state.announced_ids.add("i-1")
+        cluster_state.refresh_relayed(["i-2"])
+        await wait_until(lambda: near.endpoint_ids() == {"i-1"})
+        await wait_until(lambda: peer.endpoint_ids() == {"i-1"})
+        await wait_until(lambda: any("heard" in line for line in near.lines))
+        assert near.repeated_ids() == {"i-1", "i-2"}
+        # Relayed ids between replicas would keep a dead endpoint alive forever.
+        assert peer.repeated_ids() == {"i-1"}
         await far.send({"list": 1})
-        await until(lambda: far.endpoint_ids() == {"i-1"})
-        told = {name for line in far.lines for name in line}
-        assert not told & {"heard", "entries", "joined"}
+        await wait_until(lambda: far.endpoint_ids() == {"i-1"})
+        sent = {name for line in far.lines for name in line}
+        assert not sent & {"heard", "entries", "joined"}
 
     with_feed(body)
 
 
-def test_entry_of_an_earlier_version_is_told_of_endpoints(with_feed):
-    """Guards against entries that hear of no endpoint while new versions roll out."""
+def test_entry_of_an_earlier_version_receives_endpoints(with_feed):
+    """Guards against old entries without endpoint updates during a rolling upgrade."""
 
-    async def body(book, connect):
-        reader = Reader("old", "b", "entry")
-        del reader.hello["news"]
-        await reader.open(connect.port, takes_news=False)
-        book.take_announcement(announcement("i-1"))
-        await until(lambda: reader.endpoint_ids() == {"i-1"})
+    async def body(cluster_state, connect):
+        subscriber = Subscriber("old", "b", "entry")
+        del subscriber.hello["news"]
+        await subscriber.open(connect.port, wants_updates=False)
+        cluster_state.merge_announcement(announcement("i-1"))
+        await wait_until(lambda: subscriber.endpoint_ids() == {"i-1"})
 
     with_feed(body)
 
 
-def test_entries_without_news_still_learn_the_index_at_once(with_feed):
-    """Guards against orders that wait for the regular line of a far replica."""
+def test_entries_without_updates_still_receive_the_index_immediately(with_feed):
+    """Guards against commands that are delayed until the next keep-alive line."""
 
-    async def body(book, connect):
-        far = await connect("far", "b", takes_news=False)
-        book.apply(7, encode_order(Evacuate("a", True)))
+    async def body(cluster_state, connect):
+        far = await connect("far", "b", wants_updates=False)
+        cluster_state.apply(7, encode_order(Evacuate("a", True)))
         async with curio.timeout_after(0.5):
             while not any(line["index"] == 7 for line in far.lines):
                 await curio.sleep(0.01)
@@ -163,71 +163,73 @@
     with_feed(body)
 
 
-def test_list_leaves_out_what_the_reader_has(with_feed):
-    """Guards against lists that are sent whole to every entry again and again."""
+def test_list_omits_endpoints_the_subscriber_has(with_feed):
+    """Guards against sending the complete list to every entry on each request."""
 
-    async def body(book, connect):
+    async def body(cluster_state, connect):
         known = [announcement(f"i-{n}", n) for n in range(200)]
         for item in known:
-            book.take_announcement(item)
-        reader = await connect("late", "b", takes_news=False)
-        await reader.send({"list": 1, "digests": bucket_digests(known)})
-        await until(lambda: any("announcements" in line for line in reader.lines))
-        assert reader.endpoint_ids() == set()
-        await reader.send({"list": 1, "digests": bucket_digests(known[1:])})
-        await until(lambda: "i-0" in reader.endpoint_ids())
-        assert len(reader.endpoint_ids()) < 50
+            cluster_state.merge_announcement(item)
+        subscriber = await connect("late", "b", wants_updates=False)
+        await subscriber.send({"list": 1, "digests": bucket_digests(known)})
+        await wait_until(
+            lambda: any("announcements" in line for line in subscriber.lines)
+        )
+        assert subscriber.endpoint_ids() == set()
+        await subscriber.send({"list": 1, "digests": bucket_digests(known[1:])})
+        await wait_until(lambda: "i-0" in subscriber.endpoint_ids())
+        assert len(subscriber.endpoint_ids()) < 50
 
     with_feed(body)
 
 
-def test_list_holds_what_the_reader_was_not_told(with_feed):
-    """Guards against an entry that misses for ever what was told before it came."""
+def test_list_includes_endpoints_announced_before_the_connection(with_feed):
+    """Guards against an entry that misses announcements from before it connected."""
 
-    async def body(book, connect):
-        book.take_announcement(announcement("early"))
-        reader = await connect("late", "b", takes_news=False)
-        assert reader.endpoint_ids() == set()
-        await reader.send({"list": 1})
-        await until(lambda: reader.endpoint_ids() == {"early"})
+    async def body(cluster_state, connect):
+        cluster_state.merge_announcement(announcement("early"))
+        subscriber = await connect("late", "b", wants_updates=False)
+        assert subscriber.endpoint_ids() == set()
+        await subscriber.send({"list": 1})
+        await wait_until(lambda: subscriber.endpoint_ids() == {"early"})
 
     with_feed(body)
 
 
-def test_each_name_of_an_entry_is_told_once(with_feed):
-    """Guards against lines whose sum grows with the square of the entries."""
+def test_each_entry_name_is_sent_once(with_feed):
+    """Guards against feed traffic that grows with the square of the entries."""
 
-    async def body(book, connect):
+    async def body(cluster_state, connect):
         first = await connect("e0")
         others = [await connect(f"e{n}") for n in range(1, 30)]
         names = {f"e{n}" for n in range(30)}
-        await until(lambda: first.entries() == names)
-        told = [name for line in first.lines for name in line.get("joined", ())]
-        assert len(told) <= 30
+        await wait_until(lambda: first.entries() == names)
+        sent = [name for line in first.lines for name in line.get("joined", ())]
+        assert len(sent) <= 30
         assert sum("entries" in line for line in first.lines) <= 1
-        for reader in others:
-            await reader.close()
-        await until(lambda: first.entries() == {"e0"})
+        for subscriber in others:
+            await subscriber.close()
+        await wait_until(lambda: first.entries() == {"e0"})
 
     with_feed(body)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_names_add_up_while_entries_come_and_go(with_feed, seed):
-    """Guards against a name that stays when its entry left between two lines."""
+def test_entry_names_stay_correct_while_entries_come_and_go(with_feed, seed):
+    """Guards against a stale name when an entry disconnects between two lines."""
 
-    async def body(book, connect):
+    async def body(cluster_state, connect):
         rng = random.Random(seed)
         watcher = await connect("watcher")
-        readers = {}
+        subscribers = {}
         for n in range(25):
-            if readers and rng.random() < 0.5:
-                await readers.pop(rng.choice(sorted(readers))).close()
+            if subscribers and rng.random() < 0.5:
+                await subscribers.pop(rng.choice(sorted(subscribers))).close()
             else:
-                readers[f"e{n}"] = await connect(f"e{n}")
+                subscribers[f"e{n}"] = await connect(f"e{n}")
             await curio.sleep(rng.choice([0.0, 0.02, 0.1]))
-        expected = {"watcher", *readers}
-        for reader in (watcher, *readers.values()):
-            await until(lambda: reader.entries() == expected)  # noqa: B023
+        expected = {"watcher", *subscribers}
+        for subscriber in (watcher, *subscribers.values()):
+            await wait_until(lambda: subscriber.entries() == expected)  # noqa: B023
 
     with_feed(body)
--- a/pollenfold/tests/control/test_replica.py
+++ b/pollenfold/tests/control/test_replica.py
@@ -1,4 +1,4 @@
-"""Control replicas over loopback: restarts, lost writes, isolation."""
+"""Control replicas over loopback: restarts, failed writes, partitions."""
 
 import shutil
 
@@ -88,7 +88,7 @@
         self.nodes = {k: Node(self, k) for k in names}
 
     def listen(self, replica_id):
-        """Return the socket of the first start, later a new one on its port."""
+        """Return the initial socket, or after a restart a new one on the same port."""
         sock = self.sockets.pop(replica_id, None)
         return sock or curio.tcp_server_socket(*self.peers[replica_id])
 
@@ -108,7 +108,7 @@
             await curio.sleep(0.02)
 
     async def propose(self, *commands):
-        """Propose each command until a leader confirms it."""
+        """Propose each command until it is committed."""
         for command in commands:
             while True:
                 node = await self.leader()
@@ -116,7 +116,7 @@
                     break
 
 
-async def until(condition):
+async def wait_until(condition):
     """Wait until the condition holds; the fixture limits the whole test."""
     while not condition():
         await curio.sleep(0.02)
@@ -153,7 +153,7 @@
         assert indexes == sorted(set(indexes))
         assert leader.replica.applied_index() == indexes[-1]
         for node in cluster.nodes.values():
-            await until(lambda: len(node.commands) == 20)
+            await wait_until(lambda: len(node.commands) == 20)
             assert node.commands == commands
             is_leader = node is leader
             assert node.replica.leader_id() == leader.replica_id
@@ -175,15 +175,15 @@
         await cluster.start()
         await cluster.propose(b"last")
         for node in cluster.nodes.values():
-            await until(lambda: node.commands and node.commands[-1] == b"last")
+            await wait_until(lambda: node.commands and node.commands[-1] == b"last")
             assert node.commands == [*commands, b"last"]
             assert node.replica.status()["snapshot_index"] >= 256
 
     cluster_run(check)
 
 
-def test_torn_last_entry_is_cut_off(cluster_run):
-    """Guards against a torn write that stops a replica or hides what follows it."""
+def test_torn_last_entry_is_truncated(cluster_run):
+    """Guards against a torn write that stops a replica or hides later entries."""
 
     async def check(cluster):
         commands = [b"%d" % i for i in range(5)]
@@ -197,14 +197,14 @@
         await cluster.stop()
         await cluster.start()
         for node in cluster.nodes.values():
-            await until(lambda: node.commands and node.commands[-1] == b"last")
+            await wait_until(lambda: node.commands and node.commands[-1] == b"last")
             assert node.commands == [*commands, b"last"]
 
     cluster_run(check)
 
 
 def test_full_disk_makes_the_leader_step_down(cluster_run):
-    """Guards against an acknowledged change that isn't stored, and a crash loop."""
+    """Guards against acknowledging a change that isn't stored, and a crash loop."""
 
     async def check(cluster):
         await cluster.propose(b"first")
@@ -219,7 +219,7 @@
         await cluster.propose(b"second")
         assert failed.replica.status()["is_storage_failed"]
         failed.is_disk_full = False
-        await until(lambda: failed.commands == [b"first", b"second"])
+        await wait_until(lambda: failed.commands == [b"first", b"second"])
 
     cluster_run(check)
 
@@ -231,15 +231,15 @@
         leader = await cluster.leader()
         isolated = next(n for n in cluster.nodes.values() if n is not leader)
         await cluster.propose(b"first")
-        await until(lambda: isolated.commands == [b"first"])
+        await wait_until(lambda: isolated.commands == [b"first"])
         term = leader.replica.status()["term"]
         isolated.is_isolated = True
-        await until(lambda: isolated.replica.status()["role"] == "pre_candidate")
+        await wait_until(lambda: isolated.replica.status()["role"] == "pre_candidate")
         await curio.sleep(1)
         await cluster.propose(b"second")
         assert isolated.commands == [b"first"]
         isolated.is_isolated = False
-        await until(lambda: isolated.commands == [b"first", b"second"])
+        await wait_until(lambda: isolated.commands == [b"first", b"second"])
         assert leader.replica.is_leader()
         assert {n.replica.status()["term"] for n in cluster.nodes.values()} == {term}
 
@@ -247,7 +247,7 @@
 
 
 def test_isolated_leader_steps_down(cluster_run):
-    """Guards against an old leader that still takes changes or claims to lead."""
+    """Guards against an old leader that still accepts changes or claims to lead."""
 
     async def check(cluster):
         await cluster.propose(b"first")
@@ -258,13 +258,13 @@
         assert not old.replica.is_leader()
         await cluster.propose(b"second")
         old.is_isolated = False
-        await until(lambda: old.commands == [b"first", b"second"])
+        await wait_until(lambda: old.commands == [b"first", b"second"])
 
     cluster_run(check)
 
 
-def test_lost_disk_is_filled_again(cluster_run):
-    """Guards against a replaced disk that stays empty, or votes too early."""
+def test_replaced_disk_is_restored_from_the_leader(cluster_run):
+    """Guards against a replica that stays empty or votes early on a replaced disk."""
 
     async def check(cluster):
         await cluster.propose(*[b"%d" % i for i in range(300)])
@@ -273,15 +273,15 @@
         shutil.rmtree(lost.folder)
         await lost.start()
         assert lost.replica.status()["is_blank"]
-        await until(lambda: not lost.replica.status()["is_blank"])
+        await wait_until(lambda: not lost.replica.status()["is_blank"])
         await cluster.propose(b"last")
-        await until(lambda: len(lost.commands) == 301)
+        await wait_until(lambda: len(lost.commands) == 301)
 
     cluster_run(check)
 
 
 def test_malformed_message_is_ignored(cluster_run):
-    """Guards against garbage on the peer port that stops a replica."""
+    """Guards against malformed input on the peer port that stops a replica."""
 
     async def check(cluster):
         leader = await cluster.leader()
@@ -292,8 +292,8 @@
     cluster_run(check)
 
 
-def test_silent_connection_is_opened_anew(run, tmp_path):
-    """Guards against a connection that stays silent for minutes after a partition."""
+def test_unresponsive_connection_is_reopened(run, tmp_path):
+    """Guards against a connection that stays unresponsive long after a partition."""
 
     async def main():
         n_accepted = 0
@@ -308,7 +308,7 @@
         silent = cluster.listen("b")
         task = await curio.spawn(curio.network.run_server, silent, swallow)
         await cluster.nodes["a"].start()
-        await until(lambda: n_accepted > 1)
+        await wait_until(lambda: n_accepted > 1)
         await cluster.stop()
         await task.cancel()
 
