--- a/pollenfold/control/daemon.py
+++ b/pollenfold/control/daemon.py
@@ -1,4 +1,4 @@
-"""The control daemon: a replica of the log, leases and the operator interface."""
+"""The control daemon: log replica, lease service and operator interface."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ..wire.rpc import RpcClient, RpcServer
 from .leases import LeaseService
 from .operators import ListRequests, OperatorInterface
-from .requests import RequestList
+from .requests import UnresolvedClaims
 from .state import ControlState
 
 if TYPE_CHECKING:
@@ -30,12 +30,12 @@
 class LeaderAddress:
     """Finds the operator address of the leader.
 
-    A replica knows the peer addresses of the others from its settings; it asks the
+    A replica knows the peer addresses of the others from its settings; it queries the
     leader for its operator address with ``Protocol.OPERATOR``.
     """
 
     def __init__(self, settings: ControlSettings, state: ControlState) -> None:
-        self._own = f"{settings.host}:{settings.operator_port}"
+        self._own_address = f"{settings.host}:{settings.operator_port}"
         self._state = state
         self._clients = {
             replica_id: RpcClient(*address)
@@ -44,13 +44,13 @@
         }
 
     async def handle(self, payload: bytes) -> bytes:
-        """Answer another replica with the own operator address."""
-        return json.dumps({"operator": self._own}).encode()
+        """Respond to another replica with the operator address of this one."""
+        return json.dumps({"operator": self._own_address}).encode()
 
     async def get(self) -> str | None:
         """Return the leader's operator address ``host:port``, or None."""
         if self._state.replica.is_leader():
-            return self._own
+            return self._own_address
         client = self._clients.get(self._state.replica.leader_id() or "")
         if client is None:
             return None
@@ -68,7 +68,7 @@
 
 
 class _Daemon:
-    """The parts of one control replica."""
+    """Wires up the components of one control replica."""
 
     def __init__(self, settings: ControlSettings, replica_type: type[Any]) -> None:
         self.state = ControlState(system_clock)
@@ -103,11 +103,11 @@
 
 
 def _list_requests(settings: ControlSettings) -> ListRequests | None:
-    """Return what lists the claims of the ledger, or None without its addresses."""
+    """Return a function that lists unresolved claims, or None without a ledger."""
     if not settings.ledger:
         return None
     client_id = f"{settings.replica_id}-{secrets.token_hex(4)}"
-    return RequestList(dict(settings.ledger), client_id, system_clock).get
+    return UnresolvedClaims(dict(settings.ledger), client_id, system_clock).get
 
 
 async def serve_control(
@@ -115,9 +115,9 @@
 ) -> None:
     """Run a control replica until SIGTERM or SIGINT.
 
-    ``replica_type`` replaces the replica of the log, for tests. Raise OSError when
-    an address is taken or the data folder can't be used, ValueError when the folder
-    belongs to another replica, and RuntimeError when a part of the daemon ends.
+    ``replica_type`` replaces the log replica in tests. Raise OSError when an address
+    is in use or the data folder can't be opened, ValueError when the folder belongs to
+    another replica, and RuntimeError when a task of the daemon ends.
     """
     if replica_type is None:
         from .replica import Replica as replica_type
@@ -136,7 +136,7 @@
             settings.operator_port,
         )
     await daemon.operator_server.stop()
-    # Raises what ended the first task, unless it was the signal.
+    # Reraises the exception of the first task that ended, if it failed.
     reason = group.result
     if group.completed is not stop:
         raise RuntimeError(f"{group.completed.name} ended")
--- a/pollenfold/control/operators.py
+++ b/pollenfold/control/operators.py
@@ -21,8 +21,8 @@
 from .state import ControlState, Leadership
 
 PROPOSE_TIMEOUT_MS = 1000.0
-"""After this time the outcome is reported unknown. A leader that lost its majority
-has stepped down by then, so the change can be sent to the next one."""
+"""After this time the outcome is reported as unknown. A leader that lost its majority
+has stepped down by then, so the change can be retried at its successor."""
 
 CHANGE_ID = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 CHANGE_ID_HEADER = b"pollenfold-change-id"
@@ -55,9 +55,9 @@
         self._list_requests = list_requests
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request."""
-        given = request.header(b"authorization") or b""
-        if not hmac.compare_digest(given, self._authorization):
+        """Respond to one request."""
+        authorization = request.header(b"authorization") or b""
+        if not hmac.compare_digest(authorization, self._authorization):
             logger.warning("event=operator_unauthorized peer={}", request.peer)
             return error_response(ErrorKind.UNAUTHORIZED, "expected a bearer token")
         path = request.path
@@ -68,26 +68,32 @@
             return error_response(ErrorKind.NOT_FOUND, detail)
         if path == "/v1/status":
             if b"leader=true" in request.target and self._state.leadership() is None:
-                return await self._refer()
+                return await self._redirect_to_leader()
             return await self._get_status()
         if path == "/v1/requests":
             return await self._get_requests()
-        held = self._state.leadership()
+        leadership = self._state.leadership()
         if path == "/v1/records":
-            return await self._refer() if held is None else self._get_records(request)
+            return (
+                await self._redirect_to_leader()
+                if leadership is None
+                else self._get_records(request)
+            )
         if path.startswith("/v1/changes/"):
             change_id = path.removeprefix("/v1/changes/")
-            if held is None:
-                return await self._refer()
-            return self._get_change(held, change_id)
+            if leadership is None:
+                return await self._redirect_to_leader()
+            return self._get_change(leadership, change_id)
         return error_response(ErrorKind.NOT_FOUND, path)
 
     async def _post_record(self, request: Request) -> Response:
-        held = self._state.leadership()
-        if held is None:
-            return await self._refer()
-        given = request.header(CHANGE_ID_HEADER)
-        change_id = secrets.token_hex(16) if given is None else given.decode("latin-1")
+        leadership = self._state.leadership()
+        if leadership is None:
+            return await self._redirect_to_leader()
+        header = request.header(CHANGE_ID_HEADER)
+        change_id = (
+            secrets.token_hex(16) if header is None else header.decode("latin-1")
+        )
         if not CHANGE_ID.fullmatch(change_id):
             detail = f"Pollenfold-Change-Id: expected {CHANGE_ID.pattern}"
             return error_response(ErrorKind.BAD_REQUEST, detail)
@@ -96,8 +102,8 @@
             return _error(parsed.error.kind, parsed.error.detail, change_id=change_id)
         record = parsed.ok
         if change_id not in self._state.configuration.answers:
-            # A resend gets its first answer even when other records changed since.
-            problem = self._check_against_others(record, held)
+            # A retry returns the first outcome even if other records changed since.
+            problem = self._find_conflict(record, leadership)
             if problem is not None:
                 return _error(ErrorKind.BAD_RECORD, problem, change_id=change_id)
         result = await self._state.submit(
@@ -105,19 +111,19 @@
         )
         if result.is_error():
             if result.error is ErrorKind.NOT_LEADER:
-                return await self._refer()
+                return await self._redirect_to_leader()
             return _error(result.error, "", change_id=change_id)
-        self._log_answer(result.ok, record, request.peer)
-        return _answer_response(result.ok, record)
+        self._log_change(result.ok, record, request.peer)
+        return _change_response(result.ok, record)
 
-    def _check_against_others(
-        self, record: ParsedRecord, held: Leadership
+    def _find_conflict(
+        self, record: ParsedRecord, leadership: Leadership
     ) -> str | None:
-        """Return what is wrong with a record beside the others, or None."""
+        """Return how a record conflicts with live entries or other records, or None."""
         spec = record.spec
         if isinstance(spec, FleetSpec):
-            held.directory.expire(self._state.clock())
-            n_entries = len(held.directory.live_entries())
+            leadership.directory.expire(self._state.clock())
+            n_entries = len(leadership.directory.live_entries())
             if spec.max_entries < n_entries:
                 return (
                     f"spec.max_entries: got {spec.max_entries}, expected at least "
@@ -146,38 +152,40 @@
         revision = self._state.configuration.revision
         return json_response(200, {"revision": revision, "records": records})
 
-    def _get_change(self, held: Leadership, change_id: str) -> Response:
-        answer = self._state.configuration.answers.get(change_id)
-        if answer is None:
+    def _get_change(self, leadership: Leadership, change_id: str) -> Response:
+        outcome = self._state.configuration.answers.get(change_id)
+        if outcome is None:
             detail = f"change {change_id} is not committed, or older than 4096 others"
             return error_response(ErrorKind.NOT_FOUND, detail)
-        fields = _answer_fields(answer)
+        fields = _change_fields(outcome)
         now = self._state.clock()
         revision = self._state.configuration.revision
-        if answer.error is None:
-            in_force = held.directory.in_force_revision(revision, now)
-            fields["in_force"] = in_force >= answer.revision
-            fields["waiting_for"] = held.directory.entries_behind(answer.revision, now)
-            fields["is_leader_settled"] = held.directory.is_settled(now)
+        if outcome.error is None:
+            in_force = leadership.directory.in_force_revision(revision, now)
+            fields["in_force"] = in_force >= outcome.revision
+            fields["waiting_for"] = leadership.directory.entries_behind(
+                outcome.revision, now
+            )
+            fields["is_leader_settled"] = leadership.directory.is_settled(now)
         return json_response(200, fields)
 
     async def _get_status(self) -> Response:
         state = self._state
-        held = state.leadership()
+        leadership = state.leadership()
         now = state.clock()
         fields: dict[str, Any] = {
             "replica_id": self._replica_id,
             "zone": self._zone,
             "role": "leader" if state.replica.is_leader() else "follower",
-            "is_ready": held is not None,
+            "is_ready": leadership is not None,
             "leader_id": state.replica.leader_id(),
             "leader": await self._leader_address(),
             "revision": state.configuration.revision,
             "max_entries": state.max_entries()[0],
             "replica": state.replica.status(),
         }
-        if held is not None:
-            directory = held.directory
+        if leadership is not None:
+            directory = leadership.directory
             revision = state.configuration.revision
             fields["in_force_revision"] = directory.in_force_revision(revision, now)
             fields["is_leader_settled"] = directory.is_settled(now)
@@ -205,22 +213,22 @@
             return error_response(result.error.kind, result.error.detail)
         return json_response(200, {"requests": result.ok})
 
-    async def _refer(self) -> Response:
-        """Point to the leader; ``NOT_READY`` when this replica becomes the leader."""
+    async def _redirect_to_leader(self) -> Response:
+        """Redirect to the leader; ``NOT_READY`` while this replica becomes leader."""
         if self._state.replica.is_leader():
             return error_response(ErrorKind.NOT_READY, "the leader is starting")
         return _error(ErrorKind.NOT_LEADER, "", leader=await self._leader_address())
 
-    def _log_answer(self, answer: Answer, record: ParsedRecord, peer: str) -> None:
+    def _log_change(self, outcome: Answer, record: ParsedRecord, peer: str) -> None:
         logger.info(
             "event=change change_id={} kind={} name={} version={} result={} "
             "revision={} peer={}",
-            answer.change_id,
+            outcome.change_id,
             record.kind.value,
             record.name,
             record.version,
-            "accepted" if answer.error is None else answer.error.value,
-            answer.revision,
+            "accepted" if outcome.error is None else outcome.error.value,
+            outcome.revision,
             peer,
         )
 
@@ -232,22 +240,22 @@
     return response
 
 
-def _answer_fields(answer: Answer) -> dict[str, Any]:
+def _change_fields(outcome: Answer) -> dict[str, Any]:
     fields: dict[str, Any] = {
-        "change_id": answer.change_id,
-        "accepted": answer.error is None,
-        "revision": answer.revision,
+        "change_id": outcome.change_id,
+        "accepted": outcome.error is None,
+        "revision": outcome.revision,
     }
-    if answer.error is not None:
-        fields["error"] = answer.error.value
-        fields["detail"] = answer.detail
+    if outcome.error is not None:
+        fields["error"] = outcome.error.value
+        fields["detail"] = outcome.detail
     return fields
 
 
-def _answer_response(answer: Answer, record: ParsedRecord) -> Response:
-    if answer.error is not None:
-        return _error(answer.error, answer.detail, change_id=answer.change_id)
-    fields = _answer_fields(answer)
+def _change_response(outcome: Answer, record: ParsedRecord) -> Response:
+    if outcome.error is not None:
+        return _error(outcome.error, outcome.detail, change_id=outcome.change_id)
+    fields = _change_fields(outcome)
     if record.unknown_fields:
         fields["unknown_fields"] = list(record.unknown_fields)
     return json_response(200, fields)
--- a/pollenfold/control/replica.py
+++ b/pollenfold/control/replica.py
@@ -339,7 +339,7 @@
             self._resolve(index, Error(ErrorKind.STORAGE_FAILED))
 
     def _step(self, event: Event) -> list[Message]:
-        """Process an event; return the messages to send once its writes are durable."""
+        """Process an event and persist its writes; return the messages to send."""
         if self._state is None:
             return []
         before = self._state
--- a/pollenfold/control/requests.py
+++ b/pollenfold/control/requests.py
@@ -1,4 +1,4 @@
-"""Lists unresolved claims of the ledger for operators."""
+"""Lists the unresolved ledger claims for operators."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from ..ledger.client import LedgerClient
 
 MAX_REQUESTS = 200
-"""Claims of one answer; each is read from all replicas, so the number is bounded."""
+"""Limit of claims per response, since each is read from all ledger replicas."""
 
 
-class RequestList:
-    """Reads the claims without an outcome from the ledger replicas."""
+class UnresolvedClaims:
+    """Reads claims without an outcome from the ledger replicas."""
 
     def __init__(
         self, ledger: dict[str, tuple[str, int]], client_id: str, clock: Clock
@@ -23,7 +23,7 @@
         self._client = LedgerClient(ledger, client_id, clock)
 
     async def get(self) -> Result[list[dict[str, Any]], Failure]:
-        """Return the claims by key, ``MAX_REQUESTS`` at most; ages in ms."""
+        """Return at most ``MAX_REQUESTS`` claims, with their keys and ages in ms."""
         claims = await self._client.unresolved(MAX_REQUESTS)
         return Ok(
             [
--- a/pollenfold/control/state.py
+++ b/pollenfold/control/state.py
@@ -1,4 +1,4 @@
-"""The configuration of this control replica, and its leadership."""
+"""The configuration state machine of a control replica, and its leadership."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
 from ..records.parsing import parse_record
 
 TICK_MS = 100.0
-"""Bounds the delay of noticing an election or the end of a lease."""
+"""Polling interval; bounds the delay until an election or expired lease is noticed."""
 
 BARRIER = b"\0"
-"""A command that changes nothing; it is shorter than any change."""
+"""A no-op command; it is shorter than any encoded change, so unambiguous."""
 
 BARRIER_TIMEOUT_MS = 1000.0
 
 
 class ReplicaInterface(Protocol):
-    """What the control daemon needs of its replica of the log."""
+    """The operations of the log replica that the control daemon uses."""
 
     async def propose(
         self, command: bytes, timeout_ms: float
     ) -> Result[int, ErrorKind]:
-        """Append a command; Ok with its index once it is committed."""
+        """Append a command; return its index once it is committed."""
         ...
 
     def is_leader(self) -> bool:
-        """Return whether no other replica can be the leader now."""
+        """Return whether this replica leads and no other one can be leader now."""
         ...
 
     def leader_id(self) -> str | None:
@@ -62,29 +62,29 @@
         ...
 
     def status(self) -> dict[str, Any]:
-        """Return figures for operators."""
+        """Return the status fields for operators."""
         ...
 
 
-class News:
-    """Wakes the tasks that wait for a change."""
+class ChangeNotifier:
+    """Notifies the tasks that wait for a change."""
 
     def __init__(self) -> None:
         self._event = curio.Event()
 
-    async def publish(self) -> None:
-        """Wake every task that waits now."""
+    async def notify(self) -> None:
+        """Wake all tasks that are waiting."""
         event, self._event = self._event, curio.Event()
         await event.set()
 
     async def wait(self, timeout_ms: float) -> None:
-        """Return at the next news, or after the timeout."""
+        """Return at the next notification, or after the timeout."""
         await curio.ignore_after(timeout_ms / 1000, self._event.wait())
 
 
 @dataclass(frozen=True, slots=True)
 class Leadership:
-    """One period in which this replica leads and knows every accepted change."""
+    """A period in which this replica leads and has every accepted change."""
 
     since: Instant
     directory: EntryDirectory
@@ -93,7 +93,7 @@
 class ControlState:
     """Applies the log and keeps the entry directory while this replica leads.
 
-    ``replica`` is set after construction, since a replica takes ``apply``,
+    ``replica`` is set after construction, since the replica needs ``apply``,
     ``snapshot`` and ``restore`` of this object.
     """
 
@@ -101,7 +101,7 @@
         self.clock = clock
         self.lease_ms = lease_ms
         self.configuration = ConfigurationState()
-        self.news = News()
+        self.notifier = ChangeNotifier()
         self.replica: ReplicaInterface
         self._leadership: Leadership | None = None
         self._limit: tuple[int, int, int] = (-1, DEFAULT_MAX_ENTRIES, 0)
@@ -118,7 +118,7 @@
         apply_change(self.configuration, change)
 
     def snapshot(self) -> bytes:
-        """Return the whole state as bytes."""
+        """Return the configuration state as bytes."""
         return encode_state(self.configuration)
 
     def restore(self, data: bytes) -> None:
@@ -126,19 +126,20 @@
         self.configuration = decode_state(data)
 
     def leadership(self) -> Leadership | None:
-        """Return the leadership, or None while this replica can't answer as leader."""
-        held = self._leadership
-        if held is None or not self.replica.is_leader():
+        """Return the leadership, or None while this replica can't act as leader."""
+        leadership = self._leadership
+        if leadership is None or not self.replica.is_leader():
             return None
-        return held if held.since == self.replica.leader_since() else None
+        return leadership if leadership.since == self.replica.leader_since() else None
 
     async def submit(
         self, change: Change, timeout_ms: float
     ) -> Result[Answer, ErrorKind]:
-        """Propose a change and return its answer once it is committed."""
+        """Propose a change and return its outcome once it is committed."""
         known = self.configuration.answers.get(change.change_id)
         if known is not None:
-            # apply_change gives a resend its first answer without changing anything.
+            # For a retried change, apply_change returns the first outcome and changes
+            # nothing.
             return Ok(apply_change(self.configuration, change))
         deadline = add_ms(self.clock(), timeout_ms)
         result = await self.replica.propose(encode_change(change), timeout_ms)
@@ -148,13 +149,13 @@
             if self.clock() >= deadline:
                 return Error(ErrorKind.NO_QUORUM)
             await curio.sleep(TICK_MS / 1000)
-        await self.news.publish()
+        await self.notifier.notify()
         if change.change_id not in self.configuration.answers:
             return Error(ErrorKind.NO_QUORUM)
         return Ok(apply_change(self.configuration, change))
 
     def max_entries(self) -> tuple[int, int]:
-        """Return the limit of entries, and the revision that set it."""
+        """Return the limit of entries and the revision that set it."""
         revision = self.configuration.revision
         if self._limit[0] != revision:
             self._limit = (revision, *self._read_limit())
@@ -170,25 +171,26 @@
         return DEFAULT_MAX_ENTRIES, 0
 
     async def run(self) -> None:
-        """Follow elections and the ends of leases until cancelled."""
+        """Track elections and expired leases until cancelled."""
         seen: tuple[int, int] | None = None
         while True:
             await self._follow_leadership()
-            held = self._leadership
+            leadership = self._leadership
             published = 0
-            if held is not None:
-                held.directory.expire(self.clock())
-                published = held.directory.published_revision(self.clock())
+            if leadership is not None:
+                leadership.directory.expire(self.clock())
+                published = leadership.directory.published_revision(self.clock())
             if seen != (self.configuration.revision, published):
                 seen = (self.configuration.revision, published)
-                await self.news.publish()
+                await self.notifier.notify()
             await curio.sleep(TICK_MS / 1000)
 
     async def _follow_leadership(self) -> None:
-        """Start a leadership with a barrier that is committed and applied.
+        """Start a leadership once a barrier is committed and applied.
 
-        Its index is higher than any that an earlier leader used, and it shows that
-        this replica has every change that an earlier leader reported in force.
+        The barrier's index, which becomes the epoch, is higher than that of any earlier
+        leader. Once it is applied, this replica has every change that an earlier leader
+        reported as in force.
         """
         since = self.replica.leader_since()
         if since is None or not self.replica.is_leader():
--- a/pollenfold/tests/control/test_daemon.py
+++ b/pollenfold/tests/control/test_daemon.py
@@ -1,4 +1,4 @@
-"""The control daemon with a fake log: starts, answers operators, stops."""
+"""The control daemon with a fake log replica: starts, serves operators, stops."""
 
 import os
 import signal
@@ -33,7 +33,7 @@
     return load_settings(ControlSettings, flags).ok
 
 
-def test_daemon_answers_until_it_is_stopped(run, settings):
+def test_daemon_serves_until_it_is_stopped(run, settings):
     """Guards against a daemon that doesn't listen, or ignores its stop signal."""
     assert "secret" not in repr(settings)
     address = ("127.0.0.1", settings.operator_port)
@@ -48,7 +48,7 @@
         client = OperatorClient([address], "secret", system_clock, 0)
         assert (await client.get("/v1/status")).is_error()
 
-    # A signal that the daemon doesn't take must not end the test process.
+    # A signal that the daemon doesn't handle must not end the test process.
     received = []
     before = signal.signal(signal.SIGTERM, lambda number, frame: received.append(1))
     try:
@@ -58,8 +58,8 @@
         signal.signal(signal.SIGTERM, before)
 
 
-def test_daemon_fails_when_a_part_of_it_ends(run, settings):
-    """Guards against a daemon that exits as if it had been told to."""
+def test_daemon_fails_when_one_of_its_tasks_ends(run, settings):
+    """Guards against a daemon that exits cleanly after the failure of a task."""
 
     class EndingReplica(FakeReplica):
         async def run(self):
--- a/pollenfold/tests/control/test_leases.py
+++ b/pollenfold/tests/control/test_leases.py
@@ -1,4 +1,4 @@
-"""Lease requests against the control leader, a follower and a new leader."""
+"""Lease requests to the control leader, a follower and a new leader."""
 
 import json
 
@@ -36,15 +36,15 @@
     return LeaseRequest(**{**fields, **changes})
 
 
-async def ask(control, **changes):
+async def request_lease(control, **changes):
     payload = await control.leases.handle(encode_request(request(**changes)))
     return decode_response(payload).ok
 
 
-async def ask_without_news(control, **changes):
-    """Wait for a response to an entry that knows everything."""
-    known = await ask(control)
-    return await ask(
+async def long_poll(control, **changes):
+    """Send the request of an entry that is up to date, and wait for the response."""
+    known = await request_lease(control)
+    return await request_lease(
         control,
         cursor=known.cursor,
         directory_revision=known.directory_revision,
@@ -55,7 +55,7 @@
     )
 
 
-async def store(control, name, version=1, size=0):
+async def put_zone_record(control, name, version=1, size=0):
     spec = {"state": "out", "note": "x" * size}
     fields = {
         "schema_version": 2,
@@ -69,14 +69,14 @@
     assert result.ok.error is None
 
 
-def test_news_answers_a_long_poll_at_once(control_run):
-    """Guards against a zone that stays in use for the rest of a long poll."""
+def test_update_completes_a_long_poll_immediately(control_run):
+    """Guards against an evacuated zone in use for the rest of a long poll."""
 
     async def main(control):
-        poll = await curio.spawn(ask_without_news, control)
+        poll = await curio.spawn(long_poll, control)
         await curio.sleep(0.05)
         started = system_clock()
-        await store(control, "b")
+        await put_zone_record(control, "b")
         response = await poll.join()
         assert system_clock() - started < MAX_WAIT_MS / 2
         assert response.error is None
@@ -85,12 +85,12 @@
     control_run(main)
 
 
-def test_long_poll_without_news_is_answered_in_time(control_run):
-    """Guards against a lease that ends while the leader holds a request back."""
+def test_long_poll_without_updates_completes_in_time(control_run):
+    """Guards against a lease that expires during a long poll."""
 
     async def main(control):
         started = system_clock()
-        response = await ask_without_news(control)
+        response = await long_poll(control)
         assert response.error is None
         assert response.records == ()
         assert response.directory == ()
@@ -100,33 +100,33 @@
 
 
 def test_follower_names_the_leader(control_run):
-    """Guards against an entry that doesn't find the leader, or a false lease."""
+    """Guards against an entry that can't find the leader, or a lease by a follower."""
 
     async def main(control):
         control.peers["c2"] = ("127.0.0.1", 7777)
-        poll = await curio.spawn(ask_without_news, control)
+        poll = await curio.spawn(long_poll, control)
         await curio.sleep(0.05)
         control.replica.follow("c2")
-        for response in (await poll.join(), await ask(control)):
+        for response in (await poll.join(), await request_lease(control)):
             assert response.error is ErrorKind.NOT_LEADER
             assert response.leader == ("127.0.0.1", 7777)
         control.replica.follow(None)
-        assert (await ask(control)).leader is None
+        assert (await request_lease(control)).leader is None
 
     control_run(main)
 
 
 def test_new_leader_grants_only_to_entries_that_hold_a_lease(control_run):
-    """Guards against more leases than max_entries across a change of leader."""
+    """Guards against more leases than max_entries after a leader change."""
 
     async def main(control):
-        first = await ask(control)
+        first = await request_lease(control)
         control.replica.follow("c2")
         control.replica.lead()
         while control.state.leadership() is None:
             await curio.sleep(0.01)
-        assert (await ask(control, name="e2")).error is ErrorKind.NOT_READY
-        held = await ask(control, holds_lease=True)
+        assert (await request_lease(control, name="e2")).error is ErrorKind.NOT_READY
+        held = await request_lease(control, holds_lease=True)
         assert held.error is None
         assert held.epoch > first.epoch
         assert held.directory_revision == 0
@@ -134,17 +134,17 @@
     control_run(main)
 
 
-def test_lapse_of_leadership_keeps_the_directory(control_run):
-    """Guards against in force by a leader that forgot the leases it granted."""
+def test_temporary_loss_of_leadership_keeps_the_directory(control_run):
+    """Guards against reporting a revision in force after forgetting granted leases."""
 
     async def main(control):
-        await ask(control)
+        await request_lease(control)
         since = control.replica.leader_since()
         control.replica.follow("c1x")
         await curio.sleep(0.05)
         control.replica.lead()
         control.replica._since = since
-        await store(control, "b")
+        await put_zone_record(control, "b")
         held = control.state.leadership()
         assert held.directory.in_force_revision(1, system_clock()) == 0
         assert held.directory.entries_behind(1, system_clock()) == ["e1"]
@@ -153,12 +153,12 @@
 
 
 def test_leave_notice_reaches_other_entries(control_run):
-    """Guards against work for an endpoint that left, on a partitioned entry."""
+    """Guards against requests to a departed endpoint from a partitioned entry."""
 
     async def main(control):
-        poll = await curio.spawn(ask_without_news, control)
+        poll = await curio.spawn(long_poll, control)
         await curio.sleep(0.05)
-        await ask(control, name="e2", notices=(NOTICE,))
+        await request_lease(control, name="e2", notices=(NOTICE,))
         response = await poll.join()
         assert [aged.notice for aged in response.notices] == [NOTICE.notice]
         assert response.notices[0].age_ms >= NOTICE.age_ms
@@ -167,11 +167,11 @@
 
 
 def test_large_configuration_comes_in_several_responses(control_run):
-    """Guards against a configuration that doesn't fit into a frame."""
+    """Guards against a configuration that exceeds the frame size."""
 
     async def main(control):
         for index in range(25):
-            await store(control, f"z{index}", size=50_000)
+            await put_zone_record(control, f"z{index}", size=50_000)
         names, cursor, n_responses = [], 0, 0
         while cursor < 25:
             payload = await control.leases.handle(
@@ -200,22 +200,22 @@
     ],
 )
 def test_bad_request_gets_no_lease(control_run, changes):
-    """Guards against values that fill the directory of every entry."""
+    """Guards against invalid or oversized values in the directory of every entry."""
 
     async def main(control):
-        assert (await ask(control, **changes)).error is ErrorKind.BAD_REQUEST
+        assert (await request_lease(control, **changes)).error is ErrorKind.BAD_REQUEST
         assert control.state.leadership().directory.live_entries() == ()
 
     control_run(main)
 
 
 @pytest.mark.parametrize("garbage", [b"", b"\x00" * 7, b"\xff" * 64, b"a" * 4096])
-def test_garbage_is_refused(control_run, garbage):
-    """Guards against a leader that stops at bytes that are no request."""
+def test_malformed_request_is_rejected(control_run, garbage):
+    """Guards against a leader that stops on malformed requests."""
 
     async def main(control):
         response = decode_response(await control.leases.handle(garbage)).ok
         assert response.error in (ErrorKind.BAD_FRAME, ErrorKind.BAD_REQUEST)
-        assert (await ask(control)).error is None
+        assert (await request_lease(control)).error is None
 
     control_run(main)
