--- a/pollenfold/testing/__init__.py
+++ b/pollenfold/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Small fakes of the systems around a module, for tests."""
+"""Fakes and helpers for tests and benchmarks."""
--- a/pollenfold/testing/announcer.py
+++ b/pollenfold/testing/announcer.py
@@ -1,4 +1,4 @@
-"""Announcements of a fake backend server to the platform ports of entries."""
+"""Sends the announcements of a fake backend server to the entries' platform ports."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from .counts import Counts
 
 ATTEMPT_TIMEOUT_S = 0.5
-"""Bound on one attempt, so that an entry that hangs doesn't stop the heartbeat."""
+"""Timeout of one attempt, so that an entry that hangs doesn't stop the heartbeat."""
 
 
 class Announcer:
-    """Announces at a fixed interval, each time to the next address of the list.
+    """Announces at a fixed interval, to the addresses in round-robin order.
 
-    ``describe`` returns the announcement without its heartbeat. An address that
-    doesn't accept is passed over for the next one in the same round.
+    ``describe`` returns the announcement without its heartbeat. If an entry can't be
+    reached or rejects the announcement, the next address is tried in the same round.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self._interval_s = interval_ms / 1000
         self._describe = describe
         self._counts = counts
-        self._next = 0
+        self._next_index = 0
         self._heartbeat = 0
 
     async def run(self) -> None:
@@ -48,8 +48,8 @@
         self._heartbeat += 1
         body = json.dumps({**self._describe(), "heartbeat": self._heartbeat}).encode()
         for _ in self._addresses:
-            host, port = self._addresses[self._next % len(self._addresses)]
-            self._next += 1
+            host, port = self._addresses[self._next_index % len(self._addresses)]
+            self._next_index += 1
             if await _post(host, port, body):
                 self._counts.n_announced += 1
                 return True
--- a/pollenfold/testing/answers.py
+++ b/pollenfold/testing/answers.py
@@ -1,4 +1,4 @@
-"""Answers of the fake backend server, and the check that a caller makes of them."""
+"""Response bodies of the fake backend server, and their validation by callers."""
 
 from __future__ import annotations
 
@@ -7,34 +7,35 @@
 
 import xxhash
 
-_DIGEST = b', "digest": "'
+_DIGEST_FIELD = b', "digest": "'
 
 
 def encode_answer(fields: dict[str, Any], n_bytes: int = 0) -> bytes:
-    """Return the fields as JSON that ends in a digest of everything before it.
+    """Encode the fields as JSON whose last field is a digest of all bytes before it.
 
-    A field ``padding`` brings the fields to at least ``n_bytes``.
+    A ``padding`` field is added if the JSON without the digest would be shorter than
+    ``n_bytes``.
     """
-    plain = json.dumps(fields)
-    if len(plain) < n_bytes:
-        plain = json.dumps({**fields, "padding": "x" * (n_bytes - len(plain))})
-    start = plain[:-1].encode()
-    return start + _DIGEST + xxhash.xxh64_hexdigest(start).encode() + b'"}'
+    encoded = json.dumps(fields)
+    if len(encoded) < n_bytes:
+        encoded = json.dumps({**fields, "padding": "x" * (n_bytes - len(encoded))})
+    prefix = encoded[:-1].encode()
+    return prefix + _DIGEST_FIELD + xxhash.xxh64_hexdigest(prefix).encode() + b'"}'
 
 
 def check_answer(body: bytes, request_id: str = "", key: str = "") -> str | None:
-    """Return what is wrong with an answer, or None for the caller's own whole one.
+    """Return why a response body is invalid, or None if it is complete and matches.
 
-    With a key the answer may come from an earlier send with the same key, so the
-    key is compared instead of the request id.
+    A request with an idempotency key may get the response to an earlier attempt, so
+    then the key is compared instead of the request id.
     """
-    start, _, end = body.rpartition(_DIGEST)
-    if end != xxhash.xxh64_hexdigest(start).encode() + b'"}':
+    prefix, _, suffix = body.rpartition(_DIGEST_FIELD)
+    if suffix != xxhash.xxh64_hexdigest(prefix).encode() + b'"}':
         return "not whole"
-    answer = json.loads(body)
+    fields = json.loads(body)
     if key:
-        if answer["key"] != key:
-            return f"expected the answer to key {key}, got {answer['key']}"
-    elif answer["request_id"] != request_id:
-        return f"expected the answer to {request_id}, got {answer['request_id']}"
+        if fields["key"] != key:
+            return f"expected the response to key {key}, got {fields['key']}"
+    elif fields["request_id"] != request_id:
+        return f"expected the response to {request_id}, got {fields['request_id']}"
     return None
--- a/pollenfold/testing/backend_settings.py
+++ b/pollenfold/testing/backend_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the fake backend server, by flag and environment variable."""
+"""Settings of the fake backend server, from flags and environment variables."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 
 class BackendSettings(BaseSettings):
-    """Flags of the fake backend server.
+    """Settings of the fake backend server.
 
-    ``incarnation`` 0 stands for the start time in milliseconds. The service time is
+    ``incarnation`` 0 selects the start time in milliseconds. The service time is
     ``service_ms`` times a log-normal factor with ``jitter_sigma``. After SIGTERM the
-    server refuses work for ``linger_ms``, since entries may send it that long.
+    server refuses new requests for ``linger_ms`` before it closes, because entries
+    may still send requests during that time.
     """
 
     model_config = SettingsConfigDict(
--- a/pollenfold/testing/control.py
+++ b/pollenfold/testing/control.py
@@ -1,4 +1,4 @@
-"""A control replica in this process, with a fake log, for tests of other modules."""
+"""In-process control replica without consensus, for tests of other modules."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     """Serves leases and the operator interface on ports chosen by the kernel.
 
     ``peers`` and ``operators`` map replica ids to addresses; replicas that share
-    these dictionaries refer to each other.
+    these dictionaries redirect clients to each other.
     """
 
     def __init__(
@@ -60,12 +60,12 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """The peer address."""
+        """Address for calls of peers and entries."""
         return self.peers[self.replica_id]
 
     @property
     def operator(self) -> tuple[str, int]:
-        """The operator address."""
+        """Address of the operator interface."""
         host, _, port = self.operators[self.replica_id].rpartition(":")
         return host, int(port)
 
--- a/pollenfold/testing/counts.py
+++ b/pollenfold/testing/counts.py
@@ -1,4 +1,4 @@
-"""What a fake backend server counts, so that a test can check the guarantees."""
+"""Counters of a fake backend server, from which tests check the guarantees."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @dataclass(slots=True)
 class Counts:
-    """Counters since the start of the process; the seconds are Unix time.
+    """Counters since the start of the process; seconds are Unix time.
 
-    ``run_log`` receives one line with request id and key for each run, so that the
-    runs of a process that was killed can still be counted.
+    ``run_log`` gets one line with request id and key for each execution, so that the
+    executions of a killed process can still be counted.
     """
 
     n_received: int = 0
@@ -38,19 +38,19 @@
     runs: Counter[str] = field(default_factory=Counter)
     run_log: IO[bytes] | None = None
 
-    def receive(self) -> None:
-        """Count a request for work, whether it is refused or not."""
+    def record_request(self) -> None:
+        """Count a received request for work, including one that is refused later."""
         self.n_received += 1
         self.received_by_second[int(time.time())] += 1
 
-    def probe(self, n_bytes: int) -> None:
-        """Count a request to a health or load endpoint."""
+    def record_probe(self, n_bytes: int) -> None:
+        """Count a probe of the health or load path."""
         self.n_probes += 1
         self.n_probe_bytes += n_bytes
         self.probes_by_second[int(time.time())] += 1
 
-    def run(self, request_id: str, key: str) -> int:
-        """Count the start of work and return the number of runs of its key."""
+    def record_execution(self, request_id: str, key: str) -> int:
+        """Count the start of an execution; return how often its key was executed."""
         self.n_runs += 1
         if self.run_log is not None:
             self.run_log.write(f"{request_id}\t{key}\n".encode())
@@ -60,13 +60,13 @@
         return self.runs[key]
 
     def as_json(self) -> dict[str, Any]:
-        """Return the counters as the control interface shows them."""
-        skipped = {"run_log", "received_by_second", "probes_by_second", "runs"}
-        plain = {
-            name: getattr(self, name) for name in self.__slots__ if name not in skipped
+        """Return the body of ``/stand-in/counts``."""
+        excluded = {"run_log", "received_by_second", "probes_by_second", "runs"}
+        scalars = {
+            name: getattr(self, name) for name in self.__slots__ if name not in excluded
         }
         return {
-            **plain,
+            **scalars,
             "received_by_second": dict(self.received_by_second),
             "probes_by_second": dict(self.probes_by_second),
             "greatest_runs": max(self.runs.values(), default=0),
--- a/pollenfold/testing/cuts.py
+++ b/pollenfold/testing/cuts.py
@@ -1,9 +1,10 @@
-"""Runs the ``pollenfold`` program with cuts in its own transport.
+"""Runs the ``pollenfold`` program with simulated network partitions of its RPCs.
 
 ``python -m pollenfold.testing.cuts FILE entry --entry-id=e1 ...`` runs ``pollenfold
-entry --entry-id=e1 ...``. Each line of FILE is the start of an address: calls to such
-hosts get no response while the line is there. The line ``inbound`` leaves all calls
-of other processes without a response. Callers and announcements are not cut.
+entry --entry-id=e1 ...``. Each line of FILE is an address prefix: RPCs to hosts that
+match it get no response as long as the line is in the file. With the line ``inbound``,
+RPCs from other processes get no response. HTTP requests of callers and announcements
+aren't affected.
 """
 
 from __future__ import annotations
@@ -22,42 +23,42 @@
 INBOUND = "inbound"
 
 
-def read_cuts(path: Path) -> set[str]:
-    """Return the lines of the file; a missing file cuts nothing."""
+def read_partitions(path: Path) -> set[str]:
+    """Return the lines of the file; a missing file means no partition."""
     try:
         return set(path.read_text().split())
     except FileNotFoundError:
         return set()
 
 
-def install(path: Path) -> None:
-    """Make the calls of this process obey the file."""
-    call = RpcClient.call
-    answer = RpcServer._answer
+def install_partitions(path: Path) -> None:
+    """Patch the RPC client and server of this process to apply the file."""
+    original_call = RpcClient.call
+    original_answer = RpcServer._answer
 
-    def is_cut(client: RpcClient) -> bool:
-        cuts = read_cuts(path) - {INBOUND}
-        return any(client.host.startswith(start) for start in cuts)
+    def is_partitioned(client: RpcClient) -> bool:
+        prefixes = read_partitions(path) - {INBOUND}
+        return any(client.host.startswith(prefix) for prefix in prefixes)
 
-    async def cut_call(
+    async def partitioned_call(
         self: RpcClient, protocol: Protocol, payload: bytes, timeout_ms: float
     ) -> Result[bytes, ErrorKind]:
-        if not is_cut(self):
-            result = await call(self, protocol, payload, timeout_ms)
-            # A response that arrives after the cut is lost as well.
-            if not is_cut(self):
+        if not is_partitioned(self):
+            result = await original_call(self, protocol, payload, timeout_ms)
+            # A response that arrives after the start of the partition is lost too.
+            if not is_partitioned(self):
                 return result
         await curio.sleep(timeout_ms / 1000)
         return Error(ErrorKind.UNREACHABLE)
 
-    async def cut_answer(self, *args):  # type: ignore[no-untyped-def]
-        if INBOUND not in read_cuts(path):
-            await answer(self, *args)
+    async def partitioned_answer(self, *args):  # type: ignore[no-untyped-def]
+        if INBOUND not in read_partitions(path):
+            await original_answer(self, *args)
 
-    RpcClient.call = cut_call  # type: ignore[method-assign]
-    RpcServer._answer = cut_answer  # type: ignore[method-assign]
+    RpcClient.call = partitioned_call  # type: ignore[method-assign]
+    RpcServer._answer = partitioned_answer  # type: ignore[method-assign]
 
 
 if __name__ == "__main__":
-    install(Path(sys.argv.pop(1)))
+    install_partitions(Path(sys.argv.pop(1)))
     sys.exit(main())
--- a/pollenfold/testing/fault_http.py
+++ b/pollenfold/testing/fault_http.py
@@ -1,4 +1,4 @@
-"""The HTTP side of faults: damaged answers, and callers that close their connection."""
+"""Faults at HTTP level: damaged responses, and detection of closed callers."""
 
 from __future__ import annotations
 
@@ -18,45 +18,45 @@
 
 @dataclass(slots=True)
 class DamagedResponse(Response):
-    """A response whose bytes are changed on the way out."""
+    """Response whose bytes are altered when it is sent."""
 
     kind: FaultKind = FaultKind.TRUNCATED_ANSWER
     delay_ms: float = 0.0
 
 
 class FaultConnection(CallerConnection):
-    """A connection that may damage answers."""
+    """Connection that applies the fault of a damaged response."""
 
     async def _write(self, parser: h11.Connection, response: Response) -> None:
         if not isinstance(response, DamagedResponse):
             await super()._write(parser, response)
             return
-        client, capture = self._client, _Capture()
-        self._client = capture
+        client, capturing_socket = self._client, _CapturingSocket()
+        self._client = capturing_socket
         try:
             await super()._write(parser, response)
         finally:
             self._client = client
-        whole = capture.data
+        encoded = capturing_socket.data
         if response.kind is FaultKind.TRUNCATED_ANSWER:
-            await client.sendall(whole[: len(whole) - len(response.body) // 2 - 1])
+            await client.sendall(encoded[: len(encoded) - len(response.body) // 2 - 1])
             await client.shutdown(socket.SHUT_RDWR)
         elif response.kind is FaultKind.OVERLONG_ANSWER:
-            await client.sendall(whole + b"surplus bytes")
+            await client.sendall(encoded + b"surplus bytes")
         else:
-            await client.sendall(whole)
+            await client.sendall(encoded)
             await curio.sleep(response.delay_ms / 1000)
-            await client.sendall(whole)
+            await client.sendall(encoded)
 
 
 class FaultServer(HttpServer):
-    """An HTTP server whose handler may damage answers."""
+    """HTTP server whose handler may return damaged responses."""
 
     connection_class = FaultConnection
 
 
-class _Capture:
-    """Takes what is written to a connection."""
+class _CapturingSocket:
+    """Collects the bytes that are written to a connection instead of sending them."""
 
     data = b""
 
@@ -64,17 +64,16 @@
         self.data += data
 
 
-async def closed_within(request: Request, duration_ms: float) -> bool:
-    """Wait for the duration; return True at once when the caller closes.
+async def caller_closed_within(request: Request, duration_ms: float) -> bool:
+    """Wait for the duration; return True as soon as the caller closes its connection.
 
-    At once matters: a request that its caller gave up counts as running until then,
-    and the caller may have sent the next one.
+    The close must be noticed immediately: an abandoned request counts as in flight
+    until then, and the caller may already have sent the next one.
     """
     async with curio.ignore_after(max(0.0, duration_ms) / 1000):
         await _read_wait(request.descriptor)
         if is_closed_by_peer(request.descriptor):
             return True
-        # A pipelined request keeps the socket readable, so that a later close
-        # can't be seen.
+        # A pipelined request keeps the socket readable, which hides a later close.
         await curio.Event().wait()
     return False
--- a/pollenfold/testing/faults.py
+++ b/pollenfold/testing/faults.py
@@ -1,4 +1,4 @@
-"""The fault table of the fake backend server: which request meets which fault."""
+"""Fault table of the fake backend server, which selects the faults of each request."""
 
 from __future__ import annotations
 
@@ -9,50 +9,50 @@
 
 
 class FaultKind(Enum):
-    """What goes wrong with a request, an answer or a load report."""
+    """Fault of a request, a response, a load report or the health check."""
 
     SLOW = "slow"
-    """The work takes ``factor`` times as long, and ``delay_ms`` more."""
+    """The service time is multiplied by ``factor`` and increased by ``delay_ms``."""
 
     FAIL_FAST = "fail_fast"
-    """500 at once; the request does not run."""
+    """Responds 500 immediately; the request isn't executed."""
 
     SHED = "shed"
-    """503 at once, marked as not started."""
+    """Responds 503 immediately, marked as not started."""
 
     HANG = "hang"
-    """The request runs and no answer comes while the connection is open."""
+    """The request is executed and gets no response; the connection stays open."""
 
     CLOSE_BEFORE_RUN = "close_before_run"
-    """The connection closes under the request, which does not run."""
+    """The server closes the connection without executing the request."""
 
     CLOSE_AFTER_RUN = "close_after_run"
-    """The request runs, then the connection closes without an answer."""
+    """The server executes the request, then closes the connection; no response."""
 
     LATE_ANSWER = "late_answer"
-    """The whole answer is written ``delay_ms`` after the work ended."""
+    """The complete response is sent ``delay_ms`` after the execution ended."""
 
     TRUNCATED_ANSWER = "truncated_answer"
-    """The connection closes after half of the body."""
+    """The connection is closed after half of the response body."""
 
     OVERLONG_ANSWER = "overlong_answer"
-    """Surplus bytes follow the whole answer."""
+    """Surplus bytes follow the complete response."""
 
     DUPLICATED_ANSWER = "duplicated_answer"
-    """The whole answer is written twice, the second ``delay_ms`` later."""
+    """The complete response is sent twice, the second time ``delay_ms`` later."""
 
     MISLEADING_LOAD = "misleading_load"
-    """Load reports state ``value`` requests in flight and a warm server."""
+    """Load reports show ``value`` requests in flight and a warm server."""
 
     STALE_LOAD = "stale_load"
-    """Load reports state the load of ``delay_ms`` ago."""
+    """Load reports show the load of ``delay_ms`` ago."""
 
     UNHEALTHY = "unhealthy"
-    """The health check answers 503 although work is accepted."""
+    """The health check responds 503 although requests are accepted."""
 
 
 class Action(Enum):
-    """A change of the server's own state."""
+    """Change of the server's own state."""
 
     TURN_COLD = "turn_cold"
     DRAIN = "drain"
@@ -63,8 +63,8 @@
 class FaultRule(BaseModel):
     """One row of the fault table.
 
-    ``share`` is the share of matching requests that meet the fault, ``n_requests``
-    the greatest number that do (None for no limit).
+    ``share`` is the fraction of matching requests that get the fault, ``n_requests``
+    the maximum number of such requests (None for no limit).
     """
 
     model_config = ConfigDict(extra="forbid")
@@ -79,7 +79,7 @@
 
 
 class FaultOrder(BaseModel):
-    """Body of ``POST /stand-in/faults``: a new table, actions, or both."""
+    """Body of ``POST /stand-in/faults``: a new fault table, actions, or both."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -89,10 +89,10 @@
 
 
 class FaultTable:
-    """Decides by rule and seed which faults a request meets.
+    """Selects the faults of each request from the rules and a seed.
 
-    Each rule draws from its own generator, so the n-th matching request meets the
-    same faults in every run with the same seed.
+    Each rule has its own random generator, so the n-th matching request gets the same
+    faults in every test run with the same seed.
     """
 
     def __init__(self, rules: list[FaultRule], seed: int) -> None:
@@ -101,11 +101,11 @@
             for index, rule in enumerate(rules)
         ]
         self._n_left = [rule.n_requests for rule in rules]
-        self._standing = {rule.kind: rule for rule in rules}
+        self._rules_by_kind = {rule.kind: rule for rule in rules}
 
-    def pick(self, path: str) -> dict[FaultKind, FaultRule]:
-        """Return the faults that the next request with this path meets."""
-        met = {}
+    def faults_of_next_request(self, path: str) -> dict[FaultKind, FaultRule]:
+        """Return the faults of the next request with this path."""
+        selected = {}
         for index, (rule, rng) in enumerate(self._rows):
             if not path.startswith(rule.path_prefix):
                 continue
@@ -116,9 +116,9 @@
                 if n_left == 0:
                     continue
                 self._n_left[index] = n_left - 1
-            met[rule.kind] = rule
-        return met
+            selected[rule.kind] = rule
+        return selected
 
-    def standing(self, kind: FaultKind) -> FaultRule | None:
-        """Return the rule of a kind that concerns reports, not single requests."""
-        return self._standing.get(kind)
+    def report_rule(self, kind: FaultKind) -> FaultRule | None:
+        """Return the rule of a kind that affects reports instead of single requests."""
+        return self._rules_by_kind.get(kind)
--- a/pollenfold/testing/gossip.py
+++ b/pollenfold/testing/gossip.py
@@ -1,4 +1,4 @@
-"""Entries in one process that exchange their endpoint tables directly."""
+"""Entries in one process that gossip their endpoint tables through direct calls."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class LocalPeer:
-    """A peer in the same process; ``is_reachable`` cuts it off."""
+    """Peer in the same process; ``is_reachable = False`` partitions it."""
 
     def __init__(self, handle: Callable[[bytes], Awaitable[bytes]]) -> None:
         self._handle = handle
@@ -24,19 +24,19 @@
     async def call(
         self, protocol: Protocol, payload: bytes, timeout_ms: float
     ) -> Result[bytes, ErrorKind]:
-        """Answer as an RpcClient does; a failed handler is ``UNREACHABLE``."""
+        """Call the handler like an RpcClient; a failed handler is ``UNREACHABLE``."""
         if not self.is_reachable:
             return Error(ErrorKind.UNREACHABLE)
         try:
-            answer = await self._handle(payload)
+            response = await self._handle(payload)
         except ValueError:
             return Error(ErrorKind.UNREACHABLE)
-        self.n_bytes += len(payload) + len(answer)
-        return Ok(answer)
+        self.n_bytes += len(payload) + len(response)
+        return Ok(response)
 
 
 class GossipFleet:
-    """Entries with one clock; ``peers[n].is_reachable`` cuts entry ``n`` off."""
+    """Entries with a common clock; ``peers[n].is_reachable`` partitions entry ``n``."""
 
     def __init__(self, n_entries: int, seed: int = 1) -> None:
         self.clock = ManualClock()
@@ -51,11 +51,11 @@
         return lambda: {str(n): p for n, p in enumerate(self.peers) if n != index}
 
     def serving(self, service: str) -> list[tuple[Endpoint, ...]]:
-        """Return what each entry has in service."""
+        """Return, for each entry, the endpoints of the service in its table."""
         return [table.endpoints(service) for table in self.tables]
 
     async def exchange(self, n_rounds: int) -> None:
-        """Let each entry exchange digests once in each round."""
+        """Run rounds in which each entry exchanges digests once."""
         for _ in range(n_rounds):
             for gossip in self.gossips:
                 await gossip.exchange()
--- a/pollenfold/testing/ledger.py
+++ b/pollenfold/testing/ledger.py
@@ -1,4 +1,4 @@
-"""Ledger replicas in the loop of a test, with faults on demand."""
+"""Ledger replicas in the event loop of a test, with fault injection."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from ..wire.rpc import RpcServer
 
 CALL_TIMEOUT_MS = 500.0
-"""A busy machine or a full garbage collection stops the one loop that all replicas
-share for more than the 50 ms of a deployed client."""
+"""A busy machine or a full garbage collection can block the event loop that all
+replicas share for longer than the 50 ms timeout of a deployed client."""
 
 
 class LocalLedger:
-    """Replicas on loopback ports that the kernel assigned.
+    """Replicas on loopback ports assigned by the kernel.
 
-    Ports stay the same through restarts. For example::
+    A replica keeps its port when it restarts. For example::
 
         async with LocalLedger(tmp_path, 3) as ledger:
             client = ledger.client("entry-1")
@@ -48,12 +48,14 @@
         self._clients: list[LedgerClient] = []
 
     async def __aenter__(self) -> LocalLedger:
-        socks = {name: curio.tcp_server_socket("127.0.0.1", 0) for name in self.names}
-        self.addresses = {name: sock.getsockname() for name, sock in socks.items()}
-        for name, sock in socks.items():
+        listening = {
+            name: curio.tcp_server_socket("127.0.0.1", 0) for name in self.names
+        }
+        self.addresses = {name: sock.getsockname() for name, sock in listening.items()}
+        for name, sock in listening.items():
             self._gates[name] = curio.Event()
             await self._gates[name].set()
-            self._open(name)
+            self._create_replica(name)
             server = RpcServer({Protocol.LEDGER: self._handler(name)})
             run_server = curio.network.run_server
             self._tasks.append(await curio.spawn(run_server, sock, server.handle))
@@ -87,73 +89,73 @@
         return self._folder / name
 
     async def join(self, name: str) -> bool:
-        """Let a blank replica try to join; return whether it may vote."""
+        """Try once to join a blank replica; return whether the replica may vote."""
         if self.replicas[name].is_blank:
             await self.replicas[name].join_once()
         return not self.replicas[name].is_blank
 
     async def stop(self, name: str) -> None:
-        """End a replica; requests to it fail at once until it is started again."""
+        """Stop a replica; requests to it fail immediately until it is restarted."""
         self._stopped.add(name)
         await self.replicas[name].close()
 
     def start(self, name: str) -> None:
-        """Start a stopped replica on the content of its folder."""
-        self._open(name)
+        """Start a stopped replica on its existing data folder."""
+        self._create_replica(name)
         self._stopped.discard(name)
 
     async def crash_in_write(self, name: str) -> None:
-        """Restart a replica that leaves an unfinished journal entry."""
+        """Restart a replica with an incomplete entry at the end of its journal."""
         await self.stop(name)
         with (self.folder(name) / "registers").open("ab") as journal:
             journal.write(b"\x00\x00\x00\x40torn")
         self.start(name)
 
     def fail_disk(self, name: str) -> None:
-        """Let every write of a replica fail from now on."""
-        descriptor = self.replicas[name].store._journal._descriptor
+        """Make all further writes of a replica fail."""
+        journal_descriptor = self.replicas[name].store._journal._descriptor
         read_only = os.open(os.devnull, os.O_RDONLY)
-        os.dup2(read_only, descriptor)
+        os.dup2(read_only, journal_descriptor)
         os.close(read_only)
 
     async def lose_disk(self, name: str) -> None:
-        """Restart a replica on an empty folder."""
+        """Restart a replica on an empty data folder."""
         await self.stop(name)
         shutil.rmtree(self.folder(name))
         self.start(name)
 
     def isolate(self, name: str) -> None:
-        """Leave the requests to a replica, and to it from others, unanswered."""
+        """Partition a replica: requests to it get no response."""
         self._isolated.add(name)
 
     def reconnect(self, name: str) -> None:
-        """End the isolation of a replica."""
+        """End the partition of a replica."""
         self._isolated.discard(name)
 
     def suspend(self, name: str) -> None:
-        """Keep the requests to a replica until it is resumed."""
+        """Hold the requests to a replica until it is resumed."""
         self._gates[name].clear()
 
     async def resume(self, name: str) -> None:
-        """Let a suspended replica answer the requests that it kept."""
+        """Let a suspended replica handle the requests that it held."""
         await self._gates[name].set()
 
     async def delay_kept(self, name: str) -> curio.Event:
-        """Let a suspended replica answer new requests; return the event that
-        releases those it kept."""
+        """Let a suspended replica handle new requests but not those it holds; return
+        the event that releases the held ones."""
         gate = self._gates[name]
         self._gates[name] = curio.Event()
         await self._gates[name].set()
         return gate
 
-    def _open(self, name: str) -> None:
+    def _create_replica(self, name: str) -> None:
         peers = {n: a for n, a in self.addresses.items() if n != name}
         self.replicas[name] = LedgerReplica(
             name, peers, self.folder(name), self.wall_clock
         )
 
     def _handler(self, name: str):  # type: ignore[no-untyped-def]
-        async def answer(payload: bytes) -> bytes:
+        async def handle(payload: bytes) -> bytes:
             gate = self._gates[name]
             if name in self._stopped:
                 raise ConnectionError(f"replica {name} is stopped")
@@ -163,4 +165,4 @@
             await gate.wait()
             return await self.replicas[name].answer(payload)
 
-        return answer
+        return handle
--- a/pollenfold/testing/replica.py
+++ b/pollenfold/testing/replica.py
@@ -1,4 +1,4 @@
-"""A replica of the log without consensus: commands are committed at once."""
+"""Replica of the log without consensus, which commits commands immediately."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class FakeReplica:
-    """Stands in for ``control.replica.Replica``; leads until ``follow`` is called.
+    """Replaces ``control.replica.Replica``; it is leader until ``follow`` is called.
 
-    ``lost`` makes ``propose`` report no quorum although the command is applied,
-    like a leader whose confirmation is lost.
+    ``lost`` makes ``propose`` return ``NO_QUORUM`` although the command is applied,
+    as for a leader whose acknowledgements are lost.
     """
 
     def __init__(
@@ -40,29 +40,29 @@
         self._since: Instant | None = clock()
 
     def lead(self) -> None:
-        """Become the leader anew."""
+        """Become leader with a new ``leader_since``."""
         self._leader_id = self.replica_id
         self._since = self._clock()
 
     def follow(self, leader_id: str | None) -> None:
-        """Follow another leader, or none."""
+        """Become a follower of another leader, or of an unknown one."""
         self._leader_id = leader_id
         self._since = None
 
     async def handle(self, payload: bytes) -> bytes:
-        """Answer a peer; a fake has none."""
+        """Return an empty response, as a fake replica has no peers."""
         return b""
 
     async def run(self) -> None:
-        """Do nothing until cancelled, as there is no timer."""
+        """Wait until cancelled, as a fake replica has no timers."""
         await curio.Event().wait()
 
     async def propose(
         self, command: bytes, timeout_ms: float
     ) -> Result[int, ErrorKind]:
-        """Commit and apply the command at once.
+        """Commit and apply the command immediately.
 
-        Raise ValueError for an empty command, as the replica of the log does.
+        Raise ValueError for an empty command, as the real replica does.
         """
         if not command:
             raise ValueError("expected a command of at least 1 byte")
@@ -75,7 +75,7 @@
         return Ok(len(self.commands))
 
     def is_leader(self) -> bool:
-        """Return whether this replica leads."""
+        """Return whether this replica is the leader."""
         return self._leader_id == self.replica_id
 
     def leader_id(self) -> str | None:
@@ -91,5 +91,5 @@
         return len(self.commands)
 
     def status(self) -> dict[str, Any]:
-        """Return figures for operators."""
+        """Return the status fields for operators."""
         return {"term": 1, "applied_index": self.applied_index()}
--- a/pollenfold/tests/testing/conftest.py
+++ b/pollenfold/tests/testing/conftest.py
@@ -1,4 +1,4 @@
-"""A fake backend server and a caller for its tests."""
+"""Fixture of a fake backend server and a caller for its tests."""
 
 import json
 
@@ -11,18 +11,18 @@
 
 
 class Caller:
-    """Sends requests to one backend server, each on its own connection."""
+    """Sends requests to one backend server, each on a new connection."""
 
     def __init__(self, server):
         self.server = server
-        self.wants_load = True
+        self.requests_load = True
 
     async def send(self, method="POST", path="/work", key="", body=b"", headers=()):
         connection = await HttpConnection.open("127.0.0.1", self.server.port)
-        wanted = (b"pollenfold-load-wanted", b"1")
+        load_wanted = (b"pollenfold-load-wanted", b"1")
         all_headers = [(b"host", b"test"), (b"x-request-id", b"r1"), *headers]
-        if self.wants_load:
-            all_headers.append(wanted)
+        if self.requests_load:
+            all_headers.append(load_wanted)
         if key:
             all_headers.append((b"idempotency-key", key.encode()))
         try:
@@ -33,18 +33,18 @@
             self.reusable = connection.reusable
             await connection.close()
 
-    async def order(self, **order):
+    async def update_faults(self, **update):
         result, _ = await self.send(
-            path="/stand-in/faults", body=json.dumps(order).encode()
+            path="/stand-in/faults", body=json.dumps(update).encode()
         )
         assert result.ok.status == 200, result.ok.body
 
-    async def read(self, path):
+    async def get_json(self, path):
         result, _ = await self.send("GET", path)
         return json.loads(result.ok.body)
 
     async def send_many(self, n_requests, key=""):
-        """Send at the same time and return the statuses."""
+        """Send requests concurrently and return the statuses of the responses."""
         request = ("POST", "/work", key)
         tasks = [await curio.spawn(self.send, *request) for _ in range(n_requests)]
         return [(await task.join())[0].ok.status for task in tasks]
--- a/pollenfold/tests/testing/test_backend_server.py
+++ b/pollenfold/tests/testing/test_backend_server.py
@@ -1,4 +1,4 @@
-"""The fake backend server: capacity, cold start, leaving, reports and counts."""
+"""Tests of the fake backend server: capacity, cold start, drain, reports and counts."""
 
 import json
 
@@ -14,7 +14,7 @@
 
 
 def test_work_beyond_slots_and_queue_is_shed_as_not_started(with_server):
-    """Guards against a fake server with more capacity than it announces."""
+    """Guards against a fake server that accepts more work than it announces."""
 
     async def body(server, caller):
         statuses = await caller.send_many(8, key="k")
@@ -28,27 +28,31 @@
 
 @pytest.mark.parametrize("overload, statuses", [("slow", [200] * 3), ("fail", None)])
 def test_cold_server_counts_work_beyond_its_cold_slots(with_server, overload, statuses):
-    """Guards against a warm-up fault that the fake server doesn't notice."""
+    """Guards against an overloaded cold server that doesn't count the violation."""
 
     async def body(server, caller):
-        seen = await caller.send_many(3)
-        assert sorted(seen) == (statuses or [200, 500, 500])
+        received = await caller.send_many(3)
+        assert sorted(received) == (statuses or [200, 500, 500])
         assert server.counts.n_overload_violations == 2
-        # Work that is answered at once in the mode "fail" is never in flight.
+        # Requests that the mode "fail" rejects immediately are never in flight.
         assert server.counts.greatest_in_flight_cold == (3 if statuses else 1)
 
     with_server(body, starts_cold=True, cold_overload=overload, service_ms=20)
 
 
 def test_server_warms_with_served_requests_and_turns_cold_again(with_server):
-    """Guards against a server that warms with time, or can't turn cold unasked."""
+    """Guards against a server that warms up with time, or can't turn cold again.
+
+    The server also sends its load report only with responses to requests that ask for
+    it, and counts exactly the bytes of these headers.
+    """
 
     async def body(server, caller):
         for _ in range(4):
             assert server.cold
             await caller.send()
         assert not server.cold
-        await caller.order(actions=["turn_cold"])
+        await caller.update_faults(actions=["turn_cold"])
         assert server.cold
         assert server.counts.greatest_in_flight_cold == 0
         result, _ = await caller.send()
@@ -59,7 +63,7 @@
         n_header_bytes = len(b"pollenfold-load") + len(load) + 4
         n_header_bytes += len(b"pollenfold-load-wanted: 1\r\n")
         assert server.counts.n_report_bytes - n_report_bytes == n_header_bytes
-        caller.wants_load = False
+        caller.requests_load = False
         result, _ = await caller.send()
         assert find_header(result.ok.headers, b"pollenfold-load") is None
         assert server.counts.n_report_bytes - n_report_bytes == n_header_bytes
@@ -68,12 +72,12 @@
 
 
 def test_drain_finishes_work_in_flight_and_refuses_new_work(with_server):
-    """Guards against a drain that cuts work off, or accepts more of it."""
+    """Guards against a drain that aborts requests in flight or accepts new ones."""
 
     async def body(server, caller):
         task = await curio.spawn(caller.send)
         await curio.sleep(0.02)
-        await caller.order(actions=["drain"])
+        await caller.update_faults(actions=["drain"])
         result, _ = await caller.send()
         assert result.ok.status == 503 and NOT_STARTED in result.ok.headers
         assert (await task.join())[0].ok.status == 200
@@ -83,7 +87,7 @@
 
 
 def test_work_stops_when_the_caller_closes(with_server):
-    """Guards against a cancelled request that goes on using a slot."""
+    """Guards against a cancelled request that keeps its slot."""
 
     async def body(server, caller):
         async with curio.ignore_after(0.05):
@@ -98,7 +102,7 @@
 
 
 def test_work_stops_at_the_deadline_of_the_caller(with_server):
-    """Guards against a server that works on after nobody waits any more."""
+    """Guards against an execution that continues after the caller stopped waiting."""
 
     async def body(server, caller):
         result, _ = await caller.send(headers=[(b"pollenfold-timeout-ms", b"50")])
@@ -110,7 +114,7 @@
 
 
 def test_queued_request_past_its_deadline_never_runs(with_server):
-    """Guards against a refusal as not started for a request that ran."""
+    """Guards against a not-started refusal of a request that was executed."""
 
     async def body(server, caller):
         first = await curio.spawn(caller.send)
@@ -125,44 +129,44 @@
     with_server(body, slots=1, service_ms=200, jitter_sigma=0)
 
 
-def test_load_reports_mislead_and_lag_as_told(with_server):
-    """Guards against routing tests whose reports are right by accident."""
+def test_load_reports_mislead_and_lag_as_configured(with_server):
+    """Guards against routing tests that get true reports in spite of the fault."""
 
     async def body(server, caller):
-        await caller.order(faults=[{"kind": "misleading_load", "value": 9}])
+        await caller.update_faults(faults=[{"kind": "misleading_load", "value": 9}])
         task = await curio.spawn(caller.send)
         await curio.sleep(0.02)
         load = {"in_flight": 9, "slots": 6, "cold": False}
-        assert await caller.read("/load") == load
+        assert await caller.get_json("/load") == load
         await task.join()
-        await caller.order(faults=[{"kind": "stale_load", "delay_ms": 200}])
+        await caller.update_faults(faults=[{"kind": "stale_load", "delay_ms": 200}])
         task = await curio.spawn(caller.send)
         await curio.sleep(0.05)
-        assert (await caller.read("/load"))["in_flight"] == 0
+        assert (await caller.get_json("/load"))["in_flight"] == 0
         await task.join()
         await curio.sleep(0.15)
-        assert (await caller.read("/load"))["in_flight"] == 1
+        assert (await caller.get_json("/load"))["in_flight"] == 1
         assert server.counts.n_probes == 3
-        await caller.order(faults=[{"kind": "unhealthy"}])
+        await caller.update_faults(faults=[{"kind": "unhealthy"}])
         assert (await caller.send("GET", "/healthz"))[0].ok.status == 503
 
     with_server(body, service_ms=150, jitter_sigma=0)
 
 
 def test_fault_table_repeats_with_its_seed():
-    """Guards against fault runs that can't be repeated."""
+    """Guards against fault injection that isn't reproducible from its seed."""
     rules = [FaultRule(kind=FaultKind.SHED, share=0.5, n_requests=20)]
 
     def draw(seed):
         table = FaultTable(rules, seed)
-        return [FaultKind.SHED in table.pick("/") for _ in range(100)]
+        return [FaultKind.SHED in table.faults_of_next_request("/") for _ in range(100)]
 
     assert draw(1) == draw(1) != draw(2)
     assert sum(draw(1)) == 20
 
 
 def test_announcements_alternate_and_end_with_leaving(run):
-    """Guards against a server that is known to one entry only, or leaves unsaid."""
+    """Guards against announcements to one entry only, or a drain without one."""
     received = {0: [], 1: []}
 
     async def start_entry(index):
@@ -173,7 +177,7 @@
         return f"127.0.0.1:{await HttpServer(accept).start('127.0.0.1', 0)}"
 
     async def main():
-        # The address without a listener is passed over.
+        # The announcer skips the address without a listener.
         entries = ["127.0.0.1:1", await start_entry(0), await start_entry(1)]
         server = BackendServer(
             BackendSettings(entries=entries, announce_every_ms=20, incarnation=7)
@@ -182,7 +186,7 @@
         while not all(received.values()):
             await curio.sleep(0.01)
         await server.order(FaultOrder(actions=["drain"]))
-        last = max(received[0] + received[1], key=lambda one: one["heartbeat"])
+        last = max(received[0] + received[1], key=lambda body: body["heartbeat"])
         assert last["state"] == "leaving"
         assert last["port"] == port
         assert last["ttl_ms"] == 5000
@@ -193,20 +197,20 @@
     run(main)
 
 
-def test_check_finds_foreign_and_damaged_answers():
-    """Guards against a check that accepts any answer."""
-    whole = encode_answer({"request_id": "r1", "key": "k1"}, 500)
-    assert check_answer(whole, "r1") is None
-    assert check_answer(whole, "other", "k1") is None
-    assert check_answer(whole, "r2") is not None
-    assert check_answer(whole, "r1", "k2") is not None
-    assert check_answer(whole[:-9], "r1") == "not whole"
-    assert check_answer(whole.replace(b"xxx", b"xyx", 1), "r1") == "not whole"
+def test_check_finds_foreign_and_damaged_responses():
+    """Guards against a check that accepts any response."""
+    complete = encode_answer({"request_id": "r1", "key": "k1"}, 500)
+    assert check_answer(complete, "r1") is None
+    assert check_answer(complete, "other", "k1") is None
+    assert check_answer(complete, "r2") is not None
+    assert check_answer(complete, "r1", "k2") is not None
+    assert check_answer(complete[:-9], "r1") == "not whole"
+    assert check_answer(complete.replace(b"xxx", b"xyx", 1), "r1") == "not whole"
     assert check_answer(b"[]", "r1") == "not whole"
 
 
-def test_run_log_outlives_the_process_that_ran(with_server, tmp_path):
-    """Guards against runs that are forgotten when the server is killed."""
+def test_run_log_outlives_its_process(with_server, tmp_path):
+    """Guards against executions that are lost from the log if the server is killed."""
 
     async def body(server, caller):
         await caller.send(key="a")
@@ -217,7 +221,7 @@
 
 
 def test_invalid_flag_gives_one_line_and_status_2(monkeypatch, capsys):
-    """Guards against a traceback for a mistyped flag."""
+    """Guards against a traceback for an invalid flag value."""
     monkeypatch.setattr("sys.argv", ["backend_server", "--slots", "none"])
     assert main() == 2
     assert capsys.readouterr().err.count("\n") == 1
--- a/pollenfold/tests/testing/test_fault_table.py
+++ b/pollenfold/tests/testing/test_fault_table.py
@@ -1,4 +1,4 @@
-"""Scenarios of the fault table of the fake backend server."""
+"""Steps of the scenarios in ``backend_server.feature``."""
 
 import curio
 import pytest
@@ -12,8 +12,8 @@
 
 
 @pytest.fixture
-def seen():
-    """What the caller saw and what the server counted."""
+def observed():
+    """Return a dictionary for the response and the counts of the server."""
     return {}
 
 
@@ -26,22 +26,22 @@
 
 
 @when(parsers.parse('a caller sends a request with the key "{key}"'))
-def send(with_server, seen, faults, key):
+def send(with_server, observed, faults, key):
     async def body(server, caller):
-        await caller.order(faults=faults)
+        await caller.update_faults(faults=faults)
         result, start = None, system_clock()
         async with curio.ignore_after(0.3):
             result, _ = await caller.send(key=key)
-        seen.update(result=result, reusable=caller.reusable)
-        seen["took_ms"] = system_clock() - start
-        seen["runs"] = (await caller.read("/stand-in/counts"))["runs"]
+        observed.update(result=result, reusable=caller.reusable)
+        observed["took_ms"] = system_clock() - start
+        observed["runs"] = (await caller.get_json("/stand-in/counts"))["runs"]
 
     with_server(body)
 
 
 @then(parsers.parse("the caller sees {what}"))
-def caller_sees(seen, what):
-    result = seen["result"]
+def caller_sees(observed, what):
+    result = observed["result"]
     if what == "nothing for 300 ms":
         assert result is None
     elif what == "a whole answer":
@@ -56,15 +56,15 @@
 
 
 @then(parsers.parse('the key "{key}" ran {n_runs:d} times'))
-def key_ran(seen, key, n_runs):
-    assert seen["runs"].get(key, 0) == n_runs
+def key_ran(observed, key, n_runs):
+    assert observed["runs"].get(key, 0) == n_runs
 
 
 @then(parsers.parse("the exchange took at least {delay_ms:d} ms"))
-def exchange_took(seen, delay_ms):
-    assert seen["took_ms"] >= delay_ms
+def exchange_took(observed, delay_ms):
+    assert observed["took_ms"] >= delay_ms
 
 
-@then(parsers.parse("the connection is reusable: {answer}"))
-def connection_is_reusable(seen, answer):
-    assert seen["reusable"] == (answer == "yes")
+@then(parsers.parse("the connection is reusable: {expected}"))
+def connection_is_reusable(observed, expected):
+    assert observed["reusable"] == (expected == "yes")
