--- a/pollenfold/tests/processes/conftest.py
+++ b/pollenfold/tests/processes/conftest.py
@@ -1,7 +1,7 @@
 """Fixtures of the tests with real processes.
 
-A module states its ``TOPOLOGY``, and may state ``ENVIRONMENT`` for its processes and
-``arrange(cluster)``, which is called before they start.
+A test module defines its ``TOPOLOGY``, and optionally ``ENVIRONMENT`` (environment
+variables of the processes) and ``arrange(cluster)``, called before they start.
 """
 
 import curio
@@ -9,16 +9,16 @@
 
 from benchmarks.cluster import Cluster
 
-from .system import CutGroup, System
+from .system import PartitionGroup, System
 
 
 @pytest.fixture(scope="module")
 def system(request, tmp_path_factory):
-    """Return a running system; all its processes end with the module."""
+    """Return a running system whose processes are ended after the module's tests."""
     module = request.module
     with (
         pytest.MonkeyPatch.context() as patch,
-        CutGroup(tmp_path_factory.mktemp("system")) as group,
+        PartitionGroup(tmp_path_factory.mktemp("system")) as group,
     ):
         for name, value in getattr(module, "ENVIRONMENT", {}).items():
             patch.setenv(name, value)
@@ -44,11 +44,11 @@
 
 
 @pytest.fixture(autouse=True)
-def refusals(system):
-    """Compare, after each test, every refusal with the run counts.
+def outcomes_match_executions(system):
+    """Compare, after each test, the outcomes of all requests with the executions.
 
-    Guards against a request that was said not to have run and ran, a key that ran
-    twice, and a response without a run.
+    Guards against a request that was reported as not executed and was, a key that was
+    executed twice, and a response without an execution.
     """
     yield
     assert system.broken_promises() == []
--- a/pollenfold/tests/processes/system.py
+++ b/pollenfold/tests/processes/system.py
@@ -1,4 +1,4 @@
-"""A small system of real processes whose every refusal is compared with the runs."""
+"""Small system of real processes whose outcomes are compared with the executions."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 CONTROL = "127.0.2."
 ENTRIES = "127.0.4."
-"""Starts of the addresses that ``Cluster`` gives to control replicas and entries."""
+"""Prefixes of the addresses that ``Cluster`` gives to control replicas and entries."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What one request got; status 0 stands for no whole response."""
+    """Result of one request; status 0 means that no complete response arrived."""
 
     status: int
     state: str
@@ -48,18 +48,24 @@
     body: bytes = b""
 
 
-class CutGroup(ProcessGroup):
-    """Processes whose calls to each other can be cut by name."""
+class PartitionGroup(ProcessGroup):
+    """Processes between which network partitions can be simulated, by process name."""
 
     def start(self, name: str, command: list[str]) -> Process:
-        """Start a daemon with cuts, and any other command as it is."""
+        """Start a daemon with simulated partitions, any other command unchanged."""
         if command[1:3] == ["-m", "pollenfold"] and not name.startswith("operator"):
-            cuts = ["pollenfold.testing.cuts", str(self.folder / f"{name}.cuts")]
-            command = [command[0], "-m", *cuts, *command[3:]]
+            partition_arguments = [
+                "pollenfold.testing.cuts",
+                str(self.folder / f"{name}.cuts"),
+            ]
+            command = [command[0], "-m", *partition_arguments, *command[3:]]
         return super().start(name, command)
 
-    def cut(self, name: str, *lines: str) -> None:
-        """Leave the calls that the lines name without a response; none ends it."""
+    def partition(self, name: str, *lines: str) -> None:
+        """Partition a process as its lines say; without lines, end the partition.
+
+        ``pollenfold.testing.cuts`` describes the lines.
+        """
         path = self.folder / f"{name}.cuts"
         draft = path.with_suffix(".draft")
         draft.write_text("\n".join(lines))
@@ -68,22 +74,22 @@
 
 @dataclass(slots=True)
 class System:
-    """A cluster, and what its callers learned so far."""
+    """A cluster, and the outcomes of all requests that were sent to it."""
 
     cluster: Cluster
-    group: CutGroup
+    group: PartitionGroup
     outcomes: list[Outcome] = field(default_factory=list)
     n_sent: int = 0
 
     async def start(self) -> None:
-        """Start all processes and send work until no backend server is cold."""
+        """Start all processes and send requests until no backend server is cold."""
         await self.cluster.start()
         await self.cluster.wait_for_work()
 
     async def warm_up(self) -> None:
-        """Send work until every entry may send to every backend server.
+        """Send requests until every entry may send to every backend server.
 
-        The test before may have left entries that wait as new warm-up owners.
+        After the previous test, entries may still be waiting as new warm-up owners.
         """
         await self.cluster.wait_for_work()
 
@@ -94,23 +100,23 @@
         await wait_until(is_warm, 20, "every backend server warm")
 
     async def _sends_to_all(self, entry: EntryAddress) -> bool:
-        """Return whether an entry has no endpoint that it regards as cold."""
+        """Return whether an entry knows all endpoints and treats none as cold."""
         (service,) = (await self.entry_status(entry))["services"]
         limits = [one["limit"] for one in service["endpoints"].values()]
         return len(limits) == len(self.cluster.backends) and min(limits) > 0
 
-    def process(self, one: EntryAddress | LedgerReplica | ControlReplica) -> Process:
+    def process(self, node: EntryAddress | LedgerReplica | ControlReplica) -> Process:
         """Return the process of an entry or a replica."""
-        name = one.entry_id if isinstance(one, EntryAddress) else one.replica_id
+        name = node.entry_id if isinstance(node, EntryAddress) else node.replica_id
         return self.group.processes[name]
 
-    def wipe(self, replica: LedgerReplica | ControlReplica) -> None:
+    def kill_and_wipe(self, replica: LedgerReplica | ControlReplica) -> None:
         """Kill a replica and empty its data folder."""
         self.process(replica).kill()
         shutil.rmtree(replica.data_folder)
 
     async def rejoin(self, replica: LedgerReplica | ControlReplica) -> None:
-        """Start a replica with an empty folder and wait until it has joined again."""
+        """Start a replica with an empty folder and wait until it has rejoined."""
         n_before = self.count_joins(replica)
         self.group.restart(replica.replica_id)
 
@@ -120,7 +126,7 @@
         await wait_until(has_joined, 15, f"{replica.replica_id} joined again")
 
     def count_joins(self, replica: LedgerReplica | ControlReplica) -> int:
-        """Return how often a replica logged that it joined."""
+        """Return how often a replica logged that it has joined."""
         return self.process(replica).log.read_text().count("joined replica=")
 
     async def send(
@@ -154,7 +160,7 @@
         seed: int = 1,
         **options: Any,
     ) -> LoadResult:
-        """Send load through the entries and keep its outcomes."""
+        """Send load through the entries and record its outcomes."""
         targets = [
             (entry.host, entry.caller_port) for entry in entries or self.cluster.entries
         ]
@@ -165,23 +171,23 @@
         self.outcomes += result.outcomes
         return result
 
-    def runs(self) -> Runs:
-        """Return the runs on all backend servers so far."""
+    def executions(self) -> Runs:
+        """Return the executions on all backend servers so far."""
         return read_runs(one.run_log for one in self.cluster.backends)
 
     def broken_promises(self) -> list[str]:
-        """Compare what callers were told with the runs."""
+        """Return where the outcomes that callers received contradict the executions."""
         step = StepResult("all", LoadResult({}, self.outcomes), may_break=True)
-        return check_step(step, self.runs())
+        return check_step(step, self.executions())
 
-    async def order(self, backend: BackendAddress, **order: Any) -> None:
-        """Give a fake backend server faults or actions."""
-        body = json.dumps(order).encode()
+    async def update_faults(self, backend: BackendAddress, **update: Any) -> None:
+        """Set the faults of a fake backend server, or make it carry out actions."""
+        body = json.dumps(update).encode()
         address = (backend.host, backend.port)
         reply = await exchange(address, "POST", "/stand-in/faults", {}, body)
         assert reply.status == 200
 
-    async def operator(
+    async def send_to_operator_port(
         self,
         replica: ControlReplica,
         method: str,
@@ -208,24 +214,24 @@
         return reply.status, json.loads(reply.body or b"{}")
 
     async def leader(self, among: list[ControlReplica] | None = None) -> ControlReplica:
-        """Return the control replica that is the leader and ready."""
-        found: list[ControlReplica] = []
+        """Wait for a control replica that is leader and ready, and return it."""
+        leaders: list[ControlReplica] = []
 
         async def has_leader() -> bool:
             for replica in among or self.cluster.control:
-                status, fields = await self.operator(
+                status, fields = await self.send_to_operator_port(
                     replica, "GET", "/v1/status", timeout_s=0.5
                 )
                 if status == 200 and fields["is_ready"]:
-                    found.append(replica)
+                    leaders.append(replica)
                     return True
             return False
 
         await wait_until(has_leader, 15, "a control leader")
-        return found[0]
+        return leaders[0]
 
     async def entry_status(self, entry: EntryAddress) -> dict[str, Any]:
-        """Return what an entry tells operators, or nothing when it is silent."""
+        """Return the status of an entry; empty if the entry doesn't respond."""
         reply = await exchange(
             (entry.host, entry.platform_port),
             "GET",
@@ -249,7 +255,7 @@
     body: bytes = b"",
     timeout_s: float = 3,
 ) -> Reply:
-    """Make one exchange on a connection of its own."""
+    """Send one request on a new connection."""
     fields = [
         (b"host", address[0].encode()),
         (b"content-length", str(len(body)).encode()),
@@ -280,8 +286,9 @@
     return Reply(response.status, state.decode(), error, False, response.body)
 
 
-def in_one_zone(cluster: Cluster) -> None:
-    """Put entries and backend servers into zone a, so that each gets work from all.
+def use_single_zone(cluster: Cluster) -> None:
+    """Put all entries and backend servers into zone a, so that every entry sends to
+    every server.
 
     An endpoint stays cold while its warm-up owner has free slots in its own zone.
     """
@@ -289,6 +296,6 @@
     cluster.backends = [replace(one, zone="a") for one in cluster.backends]
 
 
-def greatest_runs(runs: Counter[str], keys: list[str]) -> int:
-    """Return how often the key with the most runs ran."""
-    return max(runs[key] for key in keys)
+def max_executions(executions: Counter[str], keys: list[str]) -> int:
+    """Return the number of executions of the most often executed key."""
+    return max(executions[key] for key in keys)
--- a/pollenfold/tests/processes/test_cold_start.py
+++ b/pollenfold/tests/processes/test_cold_start.py
@@ -1,4 +1,4 @@
-"""A cold backend server never gets more work at once than it bears."""
+"""A cold backend server never gets more concurrent requests than it can handle."""
 
 import curio
 import pytest
@@ -16,12 +16,12 @@
     "POLLENFOLD_BACKEND_WARM_AFTER": "1000000",
     "POLLENFOLD_BACKEND_COLD_SLOW_FACTOR": "1",
 }
-"""The server stays cold, so that every excess of one request at once counts."""
+"""The server stays cold, so that it counts every time it has more than one request."""
 
 SETTLE_S = 1.0
 """Time for all entries to notice a server that turns cold without warning: its next
-response says so, the entry pushes this to its peers at once, and digests reach a peer
-that missed it within a second."""
+response reports it, the entry immediately pushes this to its peers, and digests reach
+a peer that missed the push within a second."""
 
 
 @pytest.fixture
@@ -30,7 +30,7 @@
     return system.cluster.backends[0]
 
 
-async def owner(system):
+async def warm_up_owner(system):
     """Return the entry that may send to the cold server."""
     for entry in system.cluster.entries:
         if not system.process(entry).is_running:
@@ -42,7 +42,7 @@
 
 
 def test_four_entries_at_once(system, backend, run):
-    """Guards against entries that each send to a server that bears one request."""
+    """Guards against several entries sending to a server with a capacity of one."""
 
     async def main():
         await system.load(100, 4)
@@ -56,17 +56,20 @@
 
 
 def test_warm_up_owner_killed(system, backend, run):
-    """Guards against a new owner that sends before the requests of the former end."""
+    """Guards against a new warm-up owner that sends too early.
+
+    The requests of the killed owner may still be in flight at the server.
+    """
 
     async def main():
         before = await system.cluster.counts(backend)
         load = await curio.spawn(system.load, 100, 7)
         await curio.sleep(0.5)
-        killed = await owner(system)
+        killed = await warm_up_owner(system)
         system.process(killed).kill()
         await load.join()
         after = await system.cluster.counts(backend)
-        successor = await owner(system)
+        successor = await warm_up_owner(system)
         system.group.restart(killed.entry_id)
         await wait_healthy(killed.host, killed.platform_port)
         return before, after, killed, successor
@@ -79,34 +82,34 @@
 
 
 def test_warm_server_turns_cold_without_warning(system, backend, run):
-    """Guards against entries that go on as with a warm server after the settle time.
+    """Guards against entries that still treat the server as warm after the settle time.
 
-    The server reports that it is warm until the entries believe it; then its reports
-    are true again. The excess before the settle time is printed.
+    The server reports that it is warm until all entries treat it as warm, then it
+    reports its true state. The violations before the settle time are printed.
     """
 
-    async def violations():
+    async def count_violations():
         return (await system.cluster.counts(backend))["n_overload_violations"]
 
     async def main():
-        await system.order(backend, faults=[{"kind": "misleading_load"}])
+        await system.update_faults(backend, faults=[{"kind": "misleading_load"}])
         await system.warm_up()
         load = await curio.spawn(system.load, 150, 4)
         await curio.sleep(1)
-        is_overloaded = await violations() > 0
-        await system.order(backend, faults=[])
-        at_turn = await violations()
+        is_overloaded = await count_violations() > 0
+        await system.update_faults(backend, faults=[])
+        at_turn = await count_violations()
         await curio.sleep(SETTLE_S)
-        settled = await violations()
+        settled = await count_violations()
         completed = (await system.cluster.counts(backend))["n_completed"]
         await load.join()
         served = (await system.cluster.counts(backend))["n_completed"] - completed
-        late = await violations() - settled
+        late = await count_violations() - settled
         return is_overloaded, settled - at_turn, late, served
 
     is_overloaded, n_before, n_late, n_served = run(main)
     print(f"overload violations before the settle time: {n_before}")
-    # Otherwise the entries never treated the server as a warm one.
+    # Without an overload the entries never treated the server as warm.
     assert is_overloaded
     assert n_served > 0
     assert n_late == 0
--- a/pollenfold/tests/processes/test_configuration.py
+++ b/pollenfold/tests/processes/test_configuration.py
@@ -1,4 +1,4 @@
-"""Accepted configuration stays in force while control replicas fail."""
+"""Accepted configuration changes stay in force while control replicas fail."""
 
 import secrets
 
@@ -14,8 +14,8 @@
 )
 
 
-def endpoint(name, version, state="in"):
-    """Return the record of an endpoint that does not exist."""
+def endpoint_record(name, version, state="in"):
+    """Return an endpoint record for which no server exists."""
     return {
         "schema_version": 1,
         "kind": "endpoint",
@@ -25,16 +25,16 @@
     }
 
 
-async def post(system, replica, record):
-    """Send a record until a leader answers; return the answer's status and fields.
+async def post_until_decided(system, replica, record):
+    """Send a record until a leader responds; return status and fields of the response.
 
-    A reply that leaves the outcome open is followed by a resend with the same id, as
-    by an operator. Without the id the resend of a change that was committed is a
-    change of its own, and conflicts with the first.
+    If the outcome is unknown, the record is resent with the same change id, as an
+    operator does. Without that id, the resend of a committed change would be a new
+    change that conflicts with the first.
     """
     change_id = secrets.token_hex(16)
     for _ in range(50):
-        status, fields = await system.operator(
+        status, fields = await system.send_to_operator_port(
             replica, "POST", "/v1/records", record, change_id=change_id
         )
         if status in (200, 409):
@@ -42,33 +42,35 @@
         assert status in (0, 421, 503), fields
         await curio.sleep(0.1)
         replica = await system.leader()
-    raise AssertionError(f"expected an answer for {record['name']}, got {status}")
+    raise AssertionError(f"expected a response for {record['name']}, got {status}")
 
 
-async def records(system, replica):
-    """Return revision and records of a replica, in one order."""
-    status, fields = await system.operator(replica, "GET", "/v1/records")
+async def read_records(system, replica):
+    """Return the revision and the sorted records of a replica."""
+    status, fields = await system.send_to_operator_port(replica, "GET", "/v1/records")
     assert status == 200, fields
     listed = sorted(fields["records"], key=lambda one: (one["kind"], one["name"]))
     return fields["revision"], listed
 
 
-async def add(system, prefix, n_changes):
-    """Make changes; return the names of the accepted records."""
+async def add_endpoints(system, prefix, n_changes):
+    """Add endpoint records; return the names of the accepted ones."""
     leader = await system.leader()
     names = [f"127.0.9.{n}:{1000 + prefix}" for n in range(1, n_changes + 1)]
     for name in names:
-        status, fields = await post(system, leader, endpoint(name, 1))
+        status, fields = await post_until_decided(
+            system, leader, endpoint_record(name, 1)
+        )
         assert status == 200, fields
     return names
 
 
-class Revisions:
-    """Watches the revisions that entries report and keeps every fall."""
+class RevisionMonitor:
+    """Polls the revisions that entries report and records every decrease."""
 
     def __init__(self, system):
-        self.falls = []
-        self.last = {}
+        self.decreases = []
+        self.last_revisions = {}
         self._system = system
 
     async def __aenter__(self):
@@ -83,14 +85,14 @@
             for entry in self._system.cluster.entries:
                 status = await self._system.entry_status(entry)
                 revision = status.get("revision", 0)
-                if status and revision < self.last.get(entry.entry_id, 0):
-                    self.falls.append((entry.entry_id, revision))
-                self.last[entry.entry_id] = revision
+                if status and revision < self.last_revisions.get(entry.entry_id, 0):
+                    self.decreases.append((entry.entry_id, revision))
+                self.last_revisions[entry.entry_id] = revision
             await curio.sleep(0.05)
 
 
 async def wait_for_revision(system, revision):
-    """Return when every entry reports the revision, within the stated 4 s."""
+    """Wait until every entry reports the revision, for at most the guaranteed 4 s."""
     async with curio.timeout_after(4):
         for entry in system.cluster.entries:
             while (await system.entry_status(entry))["revision"] < revision:
@@ -98,8 +100,8 @@
 
 
 @pytest.fixture(autouse=True)
-def whole(system):
-    """Let every control replica run again after a test."""
+def restore_control_replicas(system):
+    """Resume or restart every control replica after a test."""
     yield
     for replica in system.cluster.control:
         process = system.process(replica)
@@ -109,28 +111,28 @@
 
 
 def test_two_operators_with_one_version(system, run):
-    """Guards against two accepted changes with one version number."""
+    """Guards against two accepted changes with the same version number."""
     states = ("in", "drained")
 
     async def race(version):
         async with curio.TaskGroup() as group:
             for replica, state in zip(system.cluster.control, states):
-                record = endpoint("127.0.9.1:999", version, state)
-                await group.spawn(post, system, replica, record)
+                record = endpoint_record("127.0.9.1:999", version, state)
+                await group.spawn(post_until_decided, system, replica, record)
         return group.results
 
     async def main():
         results = []
         for version in range(1, 21):
-            answers = await race(version)
-            _, listed = await records(system, await system.leader())
+            responses = await race(version)
+            _, listed = await read_records(system, await system.leader())
             stored = [one for one in listed if one["name"] == "127.0.9.1:999"]
-            results.append((version, answers, stored))
+            results.append((version, responses, stored))
         return results
 
-    for version, answers, stored in run(main):
-        assert sorted(status for status, _ in answers) == [200, 409], answers
-        accepted = states[[status for status, _ in answers].index(200)]
+    for version, responses, stored in run(main):
+        assert sorted(status for status, _ in responses) == [200, 409], responses
+        accepted = states[[status for status, _ in responses].index(200)]
         assert [one["version"] for one in stored] == [version]
         assert stored[0]["spec"]["state"] == accepted
 
@@ -139,108 +141,112 @@
     """Guards against changes that were accepted before they were on disk."""
 
     async def main():
-        async with Revisions(system) as revisions:
-            await add(system, 1, 250)
-            await add(system, 2, 250)
-            before = await records(system, await system.leader())
+        async with RevisionMonitor(system) as revisions:
+            await add_endpoints(system, 1, 250)
+            await add_endpoints(system, 2, 250)
+            before = await read_records(system, await system.leader())
             await wait_for_revision(system, before[0])
             for replica in system.cluster.control:
                 system.process(replica).kill()
             for replica in system.cluster.control:
                 system.group.restart(replica.replica_id)
-            after = await records(system, await system.leader())
-            names = await add(system, 3, 1)
-            revision, _ = await records(system, await system.leader())
+            after = await read_records(system, await system.leader())
+            names = await add_endpoints(system, 3, 1)
+            revision, _ = await read_records(system, await system.leader())
             await wait_for_revision(system, revision)
-        return before, after, names, revisions.falls
+        return before, after, names, revisions.decreases
 
-    before, after, names, falls = run(main)
+    before, after, names, decreases = run(main)
     assert len(before[1]) >= 500
     assert after == before
     assert len(names) == 1
-    assert falls == []
+    assert decreases == []
 
 
 def test_resumed_leader_serves_no_older_configuration(system, run):
-    """Guards against a former leader that answers from before its suspension."""
+    """Guards against a former leader that responds with state before its suspension."""
 
     async def main():
-        async with Revisions(system) as revisions:
+        async with RevisionMonitor(system) as revisions:
             former = await system.leader()
             system.process(former).suspend()
             others = [one for one in system.cluster.control if one is not former]
             await curio.sleep(3)
             leader = await system.leader(others)
-            status, fields = await post(system, leader, endpoint("127.0.9.1:4000", 1))
+            status, fields = await post_until_decided(
+                system, leader, endpoint_record("127.0.9.1:4000", 1)
+            )
             assert status == 200, fields
-            asked = await curio.spawn(
-                system.operator, former, "GET", "/v1/records", None, 5
+            pending = await curio.spawn(
+                system.send_to_operator_port, former, "GET", "/v1/records", None, 5
             )
             await curio.sleep(0.2)
             system.process(former).resume()
-            answers = [await asked.join()]
+            responses = [await pending.join()]
             for _ in range(20):
-                answers.append(await system.operator(former, "GET", "/v1/records"))
+                responses.append(
+                    await system.send_to_operator_port(former, "GET", "/v1/records")
+                )
                 await curio.sleep(0.02)
             await wait_for_revision(system, fields["revision"])
-        return fields["revision"], answers, revisions.falls
+        return fields["revision"], responses, revisions.decreases
 
-    revision, answers, falls = run(main)
-    for status, fields in answers:
+    revision, responses, decreases = run(main)
+    for status, fields in responses:
         assert status in (421, 503) or fields["revision"] >= revision, status
-    assert falls == []
+    assert decreases == []
 
 
 def test_second_replica_killed_right_after_a_repair(system, run):
-    """Guards against changes that only the lost disk and the killed replica had."""
+    """Guards against loss of changes that only two lost replicas had stored."""
 
     async def main():
-        async with Revisions(system) as revisions:
+        async with RevisionMonitor(system) as revisions:
             leader = await system.leader()
             wiped, other = [one for one in system.cluster.control if one is not leader]
             system.process(other).kill()
-            names = await add(system, 5, 20)
-            system.wipe(wiped)
+            names = await add_endpoints(system, 5, 20)
+            system.kill_and_wipe(wiped)
             system.group.restart(other.replica_id)
             await system.rejoin(wiped)
             system.process(leader).kill()
-            _, listed = await records(system, await system.leader([wiped, other]))
-        return names, {one["name"] for one in listed}, revisions.falls
+            _, listed = await read_records(system, await system.leader([wiped, other]))
+        return names, {one["name"] for one in listed}, revisions.decreases
 
-    names, listed, falls = run(main)
+    names, listed, decreases = run(main)
     assert set(names) <= listed
-    assert falls == []
+    assert decreases == []
 
 
 def test_blank_replica_and_an_older_one_accept_nothing(system, run):
-    """Guards against a quorum of a lost disk and a replica that lacks the changes.
+    """Guards against a quorum of a wiped replica and one that lacks the changes.
 
-    The only replica left with the changes is down: the rest must wait for it.
+    The only replica that still has the changes is down, so the others must wait.
     """
 
     async def main():
-        async with Revisions(system) as revisions:
+        async with RevisionMonitor(system) as revisions:
             leader = await system.leader()
             wiped, older = [one for one in system.cluster.control if one is not leader]
             system.process(older).kill()
-            names = await add(system, 6, 20)
+            names = await add_endpoints(system, 6, 20)
             system.process(leader).kill()
-            system.wipe(wiped)
+            system.kill_and_wipe(wiped)
             for replica in (older, wiped):
                 system.group.restart(replica.replica_id)
             early = []
             for _ in range(30):
                 for replica in (older, wiped):
-                    status, _ = await system.operator(
+                    status, _ = await system.send_to_operator_port(
                         replica, "GET", "/v1/records", timeout_s=0.5
                     )
                     early.append(status)
                 await curio.sleep(0.1)
             system.group.restart(leader.replica_id)
-            _, listed = await records(system, await system.leader())
-        return early, names, {one["name"] for one in listed}, revisions.falls
+            _, listed = await read_records(system, await system.leader())
+        return early, names, {one["name"] for one in listed}, revisions.decreases
 
-    early, names, listed, falls = run(main)
+    early, names, listed, decreases = run(main)
     assert 200 not in early
     assert set(names) <= listed
-    assert falls == []
+    assert decreases == []
--- a/pollenfold/tests/processes/test_operation.py
+++ b/pollenfold/tests/processes/test_operation.py
@@ -1,4 +1,4 @@
-"""Planned stop of an entry, and the cost of measurement while one restarts."""
+"""Planned stop of an entry, and the probe budget while an entry restarts."""
 
 import curio
 
@@ -6,7 +6,7 @@
 from benchmarks.processes import wait_healthy
 from benchmarks.promises import StepResult, check_step
 
-from .system import SERVICE, exchange, in_one_zone
+from .system import SERVICE, exchange, use_single_zone
 
 TOPOLOGY = Topology(
     n_control=1, n_ledger=1, n_entries=2, services=(SERVICE,), n_backends_per_service=2
@@ -14,11 +14,14 @@
 
 ENVIRONMENT = {"POLLENFOLD_DRAIN_NOTICE_MS": "1500"}
 
-arrange = in_one_zone
+arrange = use_single_zone
 
 
 def test_planned_stop_under_load(system, run):
-    """Guards against requests cut off by a port that closes before the notice."""
+    """Guards against aborted requests if the port closes before callers stop sending.
+
+    After SIGTERM the health check must fail while the entry still accepts requests.
+    """
     stopped = system.cluster.entries[1]
     process = system.process(stopped)
 
@@ -45,11 +48,11 @@
     assert late.status == 200, late
     assert status == 0
     step = StepResult("planned stop", result)
-    assert check_step(step, system.runs()) == []
+    assert check_step(step, system.executions()) == []
 
 
 def test_probes_stay_within_the_budget(system, run):
-    """Guards against a restarted entry that spends its part of the budget twice."""
+    """Guards against a restarted entry that uses its share of the budget twice."""
     spec = service_record(SERVICE, 1, TOPOLOGY.slots)["spec"]
     restarted = system.cluster.entries[0]
 
@@ -75,6 +78,6 @@
 
     (n_probes, n_bytes), duration_s = run(main)
     assert n_probes > 0
-    # Each bucket may hold one second of its rate when the count starts.
+    # Each token bucket may hold one second of its rate when the count starts.
     assert n_probes <= spec["probes_per_s"] * (duration_s + 1)
     assert n_bytes <= spec["probe_bytes_per_s"] * (duration_s + 1)
