--- a/pollenfold/tests/benchmarks/test_ablation.py
+++ b/pollenfold/tests/benchmarks/test_ablation.py
@@ -1,4 +1,4 @@
-"""The list of mechanisms that can be switched off one at a time."""
+"""Tests of the list of mechanisms that an ablation run disables one at a time."""
 
 import shutil
 
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize("mechanism", MECHANISMS, ids=lambda m: m.name)
 def test_change_fits_the_present_code(mechanism, tmp_path):
-    """Guards against a list that no longer switches anything off."""
+    """Guards against a patch that no longer applies to the current code."""
     path = tmp_path / mechanism.file
     path.parent.mkdir(parents=True)
     shutil.copy(ROOT / mechanism.file, path)
@@ -23,6 +23,6 @@
 
 
 def test_unknown_name_is_refused():
-    """Guards against a run that measures everything for a misspelt name."""
+    """Guards against a misspelt name that selects all mechanisms."""
     with pytest.raises(ValueError, match="unknown: pennalties"):
         chosen(["pennalties"], MECHANISMS)
--- a/pollenfold/tests/benchmarks/test_demo.py
+++ b/pollenfold/tests/benchmarks/test_demo.py
@@ -1,4 +1,4 @@
-"""The checks of the demo must notice each kind of broken promise."""
+"""Tests that the checks of the demo detect each kind of violated guarantee."""
 
 import json
 from collections import Counter
@@ -22,7 +22,7 @@
 GET = CallKind("idempotent", "GET", "/stock", 1)
 
 
-def outcome(state, kind=POST, request_id="r1", key="k1"):
+def make_outcome(state, kind=POST, request_id="r1", key="k1"):
     return Outcome(kind, request_id, key, ("127.0.0.1", 1), state)
 
 
@@ -31,60 +31,60 @@
     return StepResult("step", load, **fields)
 
 
-def runs(by_key=None, by_request=None):
+def make_runs(by_key=None, by_request=None):
     return Runs(Counter(by_key or {}), Counter(by_request or {}))
 
 
 @pytest.mark.parametrize(
     "step, seen, text",
     [
-        (step_with(), runs({"k1": 2}), "key k1 ran 2 times"),
+        (step_with(), make_runs({"k1": 2}), "key k1 ran 2 times"),
         (
-            step_with(outcome("did_not_run")),
-            runs({}, {"r1": 1}),
+            step_with(make_outcome("did_not_run")),
+            make_runs({}, {"r1": 1}),
             "request r1 was answered did_not_run and ran",
         ),
         (
-            step_with(outcome("did_not_run", request_id="r2")),
-            runs({"k1": 1}, {"r1": 1}),
+            step_with(make_outcome("did_not_run", request_id="r2")),
+            make_runs({"k1": 1}, {"r1": 1}),
             "key k1 was answered did_not_run and ran",
         ),
         (
-            step_with(outcome("whole")),
-            runs(),
+            step_with(make_outcome("whole")),
+            make_runs(),
             "request r1 was answered and never ran",
         ),
         (
-            step_with(outcome("whole", NO_KEY, key="")),
-            runs({}, {"r1": 2}),
+            step_with(make_outcome("whole", NO_KEY, key="")),
+            make_runs({}, {"r1": 2}),
             "request r1 without a key ran 2 times",
         ),
         (
             step_with(n_late_work=3),
-            runs(),
+            make_runs(),
             "3 requests reached the zone 3 s after it was taken out",
         ),
     ],
 )
-def test_broken_promise_is_named(step, seen, text):
-    """Guards against a demo that passes whatever the system does."""
-    assert check_step(step, seen) == [text]
+def test_broken_promise_is_named(step, counted, text):
+    """Guards against a demo that passes although a guarantee is violated."""
+    assert check_step(step, counted) == [text]
 
 
 def test_kept_promises_give_no_complaint():
-    """Guards against a demo that fails on behaviour that is allowed."""
+    """Guards against a demo that fails on permitted behaviour."""
     step = step_with(
-        outcome("whole"),
-        outcome("did_not_run", key="k2", request_id="r2"),
-        outcome("outcome_unknown", key="k3", request_id="r3"),
-        outcome("whole", GET, key="", request_id="r4"),
-        # A refused request whose resend ran.
-        outcome("did_not_run", key="k5", request_id="r5"),
-        outcome("whole", key="k5", request_id="r5-again"),
+        make_outcome("whole"),
+        make_outcome("did_not_run", key="k2", request_id="r2"),
+        make_outcome("outcome_unknown", key="k3", request_id="r3"),
+        make_outcome("whole", GET, key="", request_id="r4"),
+        # A refused request whose resend was executed.
+        make_outcome("did_not_run", key="k5", request_id="r5"),
+        make_outcome("whole", key="k5", request_id="r5-again"),
         n_late_work=0,
     )
-    seen = runs({"k1": 1, "k3": 1, "k5": 1}, {"r1": 1, "r4": 2, "r5-again": 1})
-    assert check_step(step, seen) == []
+    counted = make_runs({"k1": 1, "k3": 1, "k5": 1}, {"r1": 1, "r4": 2, "r5-again": 1})
+    assert check_step(step, counted) == []
 
 
 @pytest.mark.parametrize(
@@ -95,24 +95,26 @@
         ("surplus bytes after the answer", True, 1),
     ],
 )
-def test_cut_off_requests_count_unless_an_entry_was_killed(
+def test_aborted_requests_count_unless_an_entry_was_killed(
     reason, may_break, n_complaints
 ):
-    """Guards against a planned stop that cuts requests off unnoticed."""
+    """Guards against a planned stop whose aborted requests aren't reported."""
     step = step_with(may_break=may_break)
     step.load.classes["with_key"].broken[reason] += 1
-    assert len(check_step(step, runs())) == n_complaints
+    assert len(check_step(step, make_runs())) == n_complaints
 
 
-def test_foreign_answer_is_a_broken_promise():
-    """Guards against an answer to another caller that passes."""
+def test_foreign_response_is_a_broken_promise():
+    """Guards against a demo that accepts the response to another caller's request."""
     step = step_with()
     step.load.classes["with_key"].wrong["not its own"] += 1
-    assert check_step(step, runs()) == ["1 answers of class with_key were not its own"]
+    assert check_step(step, make_runs()) == [
+        "1 answers of class with_key were not its own"
+    ]
 
 
 async def start_stage(tmp_path):
-    """Return a stage with two baseline forwarders, which do run keys twice."""
+    """Return a stage with two baseline forwarders, which don't deduplicate keys."""
     run_log = tmp_path / "runs"
     backend = BackendServer(
         BackendSettings(run_log=run_log, starts_cold=False, slots=64)
@@ -127,7 +129,7 @@
 
 
 def test_demo_fails_on_a_forwarder_that_runs_resent_keys_again(run, tmp_path, capsys):
-    """Guards against resends that never reach the system, or runs not counted."""
+    """Guards against resends that aren't sent, or executions that aren't counted."""
 
     async def main():
         stage, backend = await start_stage(tmp_path)
@@ -147,8 +149,8 @@
     assert "broken promise: resend keys: key key-resend" in capsys.readouterr().out
 
 
-def test_unknown_keys_are_sent_again_through_another_entry(run, tmp_path):
-    """Guards against a resend that only asks the entry that already failed."""
+def test_unknown_keys_are_resent_through_another_entry(run, tmp_path):
+    """Guards against a resend through the same entry that already failed."""
 
     async def main():
         stage, backend = await start_stage(tmp_path)
@@ -164,15 +166,15 @@
 
 
 def test_health_checks_follow_the_platform_port(run):
-    """Guards against load on an entry that has said that it leaves."""
+    """Guards against load on an entry whose health check reports that it is leaving."""
 
     async def main():
         status = 200
 
-        async def answer(request):
+        async def respond(request):
             return Response(status, [])
 
-        port = await HttpServer(answer).start("127.0.0.1", 0)
+        port = await HttpServer(respond).start("127.0.0.1", 0)
         entry = EntryAddress("e1", "a", "127.0.0.1", 80, port, 81)
         async with HealthChecks([entry]) as checks:
             await curio.sleep(0.2)
@@ -185,7 +187,7 @@
 
 
 def test_cluster_addresses_differ_and_its_backends_count_by_zone(run, tmp_path):
-    """Guards against processes that share an address, and zones mixed up."""
+    """Guards against processes with the same address, and counts of the wrong zone."""
 
     async def main():
         with ProcessGroup(tmp_path) as group:
@@ -211,7 +213,7 @@
 
 
 def test_records_have_both_schema_versions():
-    """Guards against a demo that never shows both schema versions together."""
+    """Guards against a demo that doesn't cover both schema versions."""
     records = initial_records(Topology())
     assert {record["schema_version"] for record in records} == {1, 2}
     assert len({(record["kind"], record["name"]) for record in records}) == 6
--- a/pollenfold/tests/benchmarks/test_demo_steps.py
+++ b/pollenfold/tests/benchmarks/test_demo_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the demo on real processes, with fake backend servers as the entries."""
+"""Tests of the demo's steps on real processes, with fake backend servers as entries."""
 
 import pytest
 
@@ -9,7 +9,8 @@
 
 
 class ClusterWithoutEntries(Cluster):
-    """Callers reach the servers directly, and operators' commands change nothing."""
+    """Cluster whose callers send directly to backend servers; operator commands do
+    nothing."""
 
     async def operate(self, *arguments):
         return ""
@@ -45,7 +46,7 @@
 
 
 def test_planned_stop_that_drains_is_kept_and_a_kill_is_reported(with_stage):
-    """Guards against a stop step that can't tell a drain from a cut connection."""
+    """Guards against a stop step that treats a killed process as a planned stop."""
 
     async def body(stage, cluster):
         await stop_entry(stage, cluster, 0)
@@ -58,8 +59,8 @@
     with_stage(body)
 
 
-def test_zone_that_goes_on_getting_work_is_a_broken_promise(with_stage, monkeypatch):
-    """Guards against a zone step that counts no work, or at the wrong time."""
+def test_zone_that_still_receives_work_is_a_broken_promise(with_stage, monkeypatch):
+    """Guards against a zone step that counts no requests, or at the wrong time."""
     monkeypatch.setattr(demo, "ZONE_LIMIT_S", 0.2)
 
     async def body(stage, cluster):
@@ -73,7 +74,7 @@
 
 
 def test_killed_server_is_started_again_and_its_runs_are_kept(with_stage):
-    """Guards against runs that are forgotten with the process that was killed."""
+    """Guards against executions that aren't counted after their process was killed."""
 
     async def body(stage, cluster):
         one = cluster.backends[0]
@@ -82,7 +83,7 @@
             await wait_healthy(one.host, one.port)
 
         await kill_and_restart(stage, cluster, "entry", one.name, ready)
-        # On a busy machine the load of that step ends before the server is back.
+        # On a busy machine the load of that step can end before the server is ready.
         await demo.run_step(stage, "steady", 0.7)
         assert [step.broken_promises for step in stage.steps] == [[], []]
         n_known = len(one.run_log.read_text().splitlines())
@@ -92,7 +93,7 @@
 
 
 def test_action_that_fails_is_reported_with_its_step(with_stage):
-    """Guards against a step that fails and is missing in the table."""
+    """Guards against a failed step that is missing from the report."""
 
     async def body(stage, cluster):
         async def fail():
--- a/pollenfold/tests/benchmarks/test_load.py
+++ b/pollenfold/tests/benchmarks/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool and the baseline forwarder against servers with known faults."""
+"""Tests of the load generator and the baseline forwarder with injected faults."""
 
 import random
 
@@ -18,7 +18,7 @@
 ORDERS = (CallKind("non_idempotent", "POST", "/orders", 1, has_key=True),)
 
 
-def plan(port, **changes):
+def make_plan(port, **changes):
     fields = {"rate_per_s": 200, "duration_ms": 250, "seed": 1, "kinds": ORDERS}
     targets = changes.pop("targets", (("127.0.0.1", port),))
     return LoadPlan(targets, **{**fields, **changes})
@@ -33,7 +33,7 @@
 
 
 def test_arrivals_repeat_and_bursts_are_four_times_as_dense():
-    """Guards against runs that can't be repeated, and bursts that are none."""
+    """Guards against load that isn't reproducible, and bursts without a higher rate."""
 
     def draw(seed):
         return list(burst_arrivals(1000, 100_000, random.Random(seed)))
@@ -51,11 +51,11 @@
 
 @pytest.mark.parametrize("send", [run_load, run_at_most])
 def test_every_call_runs_once_and_is_counted(run, send):
-    """Guards against a load tool that loses calls or sends a key twice."""
+    """Guards against a load generator that loses calls or sends a key twice."""
 
     async def main():
         server = await start_backend()
-        result = await send(plan(server.port, n_connections=4))
+        result = await send(make_plan(server.port, n_connections=4))
         one = result.classes["non_idempotent"]
         assert one.n_sent == one.n_whole == server.counts.n_runs > 20
         assert {call.key for call in result.outcomes} == set(server.counts.runs)
@@ -67,16 +67,16 @@
 
 
 def test_latency_counts_from_the_intended_time(run):
-    """Guards against coordinated omission: a stall that delays only one call."""
+    """Guards against coordinated omission: a stall that counts for one call only."""
 
     async def main():
         server = await start_backend()
         await server.order(
             FaultOrder(faults=[{"kind": "slow", "delay_ms": 200, "n_requests": 1}])
         )
-        result = await run_load(plan(server.port, n_connections=1))
+        result = await run_load(make_plan(server.port, n_connections=1))
         one = result.classes["non_idempotent"]
-        # Calls that were due during the stall of 200 ms waited 100 ms on average.
+        # Calls that were due during the 200 ms stall waited 100 ms on average.
         assert one.n_whole > 20
         assert one.percentile_ms(50) > 50
         await server.stop()
@@ -94,12 +94,12 @@
         ("hang", "no answer after 50 ms"),
     ],
 )
-def test_damaged_answer_is_not_whole_and_its_key_is_unknown(run, fault, reason):
-    """Guards against a load tool that reports damaged answers as good ones."""
+def test_damaged_response_is_broken_and_its_key_is_unknown(run, fault, reason):
+    """Guards against a load generator that reports damaged responses as complete."""
 
     async def main():
         server = await start_backend([{"kind": fault}])
-        result = await run_load(plan(server.port, timeout_ms=50))
+        result = await run_load(make_plan(server.port, timeout_ms=50))
         one = result.classes["non_idempotent"]
         assert one.n_whole == 0
         assert one.broken == {reason: one.n_sent}
@@ -110,12 +110,12 @@
 
 
 def test_calls_go_to_healthy_targets_only(run):
-    """Guards against a planned stop that looks bad because callers go on sending."""
+    """Guards against failures in a planned stop caused by callers that keep sending."""
 
     async def main():
         servers = [await start_backend() for _ in range(3)]
         targets = tuple(("127.0.0.1", server.port) for server in servers)
-        await run_load(plan(0, targets=targets, healthy=set(targets[1:])))
+        await run_load(make_plan(0, targets=targets, healthy=set(targets[1:])))
         n_received = [server.counts.n_received for server in servers]
         assert n_received[0] == 0 < min(n_received[1:])
         for server in servers:
@@ -124,22 +124,22 @@
     run(main)
 
 
-def test_foreign_answer_and_refusal_are_told_apart(run):
-    """Guards against a caller that takes another caller's answer for its own."""
+def test_foreign_response_and_refusal_are_distinguished(run):
+    """Guards against a caller that accepts the response to another caller's request."""
 
     async def main():
         n = 0
 
-        async def answer(request):
+        async def respond(request):
             nonlocal n
             n += 1
             if n % 2:
                 return error_response(ErrorKind.NO_LEASE)
             return Response(200, [], encode_answer({"request_id": "x", "key": "y"}))
 
-        server = HttpServer(answer)
+        server = HttpServer(respond)
         port = await server.start("127.0.0.1", 0)
-        result = await run_load(plan(port, n_connections=1))
+        result = await run_load(make_plan(port, n_connections=1))
         one = result.classes["non_idempotent"]
         assert one.n_whole == 0
         assert one.wrong == {"not its own": one.n_sent // 2}
@@ -149,18 +149,20 @@
     run(main)
 
 
-def test_forwarder_passes_whole_answers_and_never_damaged_ones(run):
-    """Guards against a baseline that is cheaper because it checks nothing."""
+def test_forwarder_forwards_complete_responses_and_never_damaged_ones(run):
+    """Guards against a baseline that is cheaper because it doesn't check responses."""
 
     async def main():
         backend = await start_backend()
         forwarder = Forwarder([("127.0.0.1", backend.port)], 64)
         server = HttpServer(forwarder.handle)
         port = await server.start("127.0.0.1", 0)
-        one = (await run_load(plan(port))).classes["non_idempotent"]
+        one = (await run_load(make_plan(port))).classes["non_idempotent"]
         assert one.n_sent == one.n_whole > 20
         await backend.order(FaultOrder(faults=[{"kind": "truncated_answer"}]))
-        one = (await run_load(plan(port, name="damaged"))).classes["non_idempotent"]
+        one = (await run_load(make_plan(port, name="damaged"))).classes[
+            "non_idempotent"
+        ]
         assert one.refusals == {("backend_failed", "outcome_unknown"): one.n_sent}
         await server.stop()
         await backend.stop()
--- a/pollenfold/tests/benchmarks/test_policies.py
+++ b/pollenfold/tests/benchmarks/test_policies.py
@@ -1,4 +1,4 @@
-"""The model behind the comparison of selection policies."""
+"""Tests of the simulation model that compares selection policies."""
 
 import pytest
 
@@ -18,8 +18,8 @@
 )
 
 
-def test_all_policies_meet_the_same_calls_at_the_stated_load():
-    """Guards against a comparison in which one policy gets easier calls."""
+def test_all_policies_get_the_same_calls_at_the_stated_load():
+    """Guards against a comparison in which the policies get different calls."""
     calls = draw_calls(1)
     assert calls == draw_calls(1) != draw_calls(2)
     work_ms = sum(call.work_ms for call in calls)
@@ -30,8 +30,8 @@
     assert n_in_bursts / len(calls) == pytest.approx(20 / 115, rel=0.1)
 
 
-def test_model_repeats_and_answers_every_call():
-    """Guards against figures that can't be repeated, and calls that are lost."""
+def test_model_is_deterministic_and_completes_every_call():
+    """Guards against results that aren't reproducible, and lost calls."""
     first, second = (Model(POLICIES["probe_score"], 1) for _ in range(2))
     result = first.run()
     assert second.run().n_good == result.n_good
@@ -42,13 +42,13 @@
 
 
 def test_failing_endpoint_fails_for_a_third_of_the_run():
-    """Guards against a fault that is never met."""
+    """Guards against a simulated fault that never occurs."""
     n_failing = sum(is_failing(FAILING, at) for at in range(int(DURATION_MS)))
     assert n_failing == pytest.approx(DURATION_MS / 3, abs=1)
 
 
 def test_comparison_names_every_policy_with_its_baseline():
-    """Guards against a figure without its baseline."""
+    """Guards against a reported result without its baseline."""
     lines = list(compare_policies([1]))
     assert len(lines) == 4 * len(POLICIES)
     assert all(" baseline_random=" in line for line in lines)
--- a/pollenfold/tests/benchmarks/test_processes.py
+++ b/pollenfold/tests/benchmarks/test_processes.py
@@ -1,4 +1,4 @@
-"""Processes of benchmarks, demo and tests."""
+"""Tests of the process management of benchmarks, demo and tests."""
 
 import json
 import os
@@ -17,8 +17,8 @@
 HOST = "127.0.1.1"
 
 
-def test_process_is_suspended_killed_restarted_and_left(run, tmp_path):
-    """Guards against a demo that kills the wrong process or leaves one behind."""
+def test_process_is_suspended_killed_restarted_and_ended(run, tmp_path):
+    """Guards against a group that kills the wrong process or doesn't end one."""
 
     async def main():
         port = free_ports(HOST, 1)[0]
@@ -42,28 +42,28 @@
             process.terminate()
             assert await process.wait(10) == 0
             assert "event=leaving" in process.log_tail()
-            left = group.restart("backend")
-        assert left.popen.returncode is not None
+            remaining = group.restart("backend")
+        assert remaining.popen.returncode is not None
         with pytest.raises(ProcessLookupError):
-            os.kill(left.popen.pid, 0)
+            os.kill(remaining.popen.pid, 0)
 
     run(main)
 
 
 def test_wait_names_what_was_expected(run):
-    """Guards against a wait that hangs, or ends without saying why."""
+    """Guards against a wait that hangs, or a timeout without a description."""
 
     async def never():
         return False
 
     async def main():
-        with pytest.raises(TimeoutError, match="expected the moon within 0.1 s"):
-            await wait_until(never, 0.1, "the moon")
+        with pytest.raises(TimeoutError, match="expected a leader within 0.1 s"):
+            await wait_until(never, 0.1, "a leader")
 
     run(main)
 
 
 def test_free_ports_differ():
-    """Guards against two processes with one port."""
+    """Guards against two processes with the same port."""
     ports = free_ports(HOST, 50)
     assert len(set(ports)) == 50
--- a/pollenfold/tests/benchmarks/test_soak.py
+++ b/pollenfold/tests/benchmarks/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak; each seed that ever failed stays here."""
+"""A short soak run with a fixed seed and with every seed that has ever failed."""
 
 import subprocess
 import sys
@@ -16,13 +16,13 @@
 
 @pytest.mark.parametrize("seed", sorted({100, *FAILED_SEEDS}))
 def test_promises_hold_under_faults(seed, tmp_path: Path):
-    """Guards against broken promises under overlapping faults from outside."""
+    """Guards against guarantees that are violated while external faults overlap."""
     assert run_seed(seed, 1, tmp_path) == []
 
 
 @pytest.fixture
 def program(tmp_path):
-    """Return a program of the soak whose process does nothing, and end that process."""
+    """Return a program of the soak whose process is idle; end it after the test."""
     program = Program("control-1", "control", "127.0.0.1", "a", tmp_path)
     program.process = subprocess.Popen(
         [sys.executable, "-c", "input()"], stdin=subprocess.PIPE
@@ -32,16 +32,16 @@
 
 
 def test_process_that_runs_is_not_replaced(program):
-    """Guards against a process that nobody ends: it keeps its addresses, and the next
-    runs fail on them."""
+    """Guards against an orphaned process, which keeps its addresses so that the next
+    soak runs fail to bind them."""
     before = program.process
     program.start([], False)
     assert program.process is before
 
 
-def test_only_a_process_that_is_up_owes_a_planned_stop(program):
-    """Guards against a broken promise that is reported of a process which a signal met
-    before it could set its handlers, however long a busy machine takes to start it."""
+def test_planned_stop_is_required_only_of_a_started_process(program):
+    """Guards against a false report about a process that got a signal before it had
+    installed its handlers, however long it takes to start on a busy machine."""
     log = program.folder / "log"
     log.write_text("event=started role=control\n")
     program.n_log_bytes = log.stat().st_size
