--- a/pollenfold/testing/backend_server.py
+++ b/pollenfold/testing/backend_server.py
@@ -285,7 +285,7 @@
     async def _complete(
         self, request: Request, key: str, n_runs: int, faults: Faults
     ) -> Response | None:
-        """Return the answer to work that is done, as the faults have it."""
+        """Return the response to an executed request, with its faults applied."""
         self.counts.n_completed += 1
         if self.cold:
             self._n_served_cold += 1
--- a/pollenfold/tests/benchmarks/test_demo.py
+++ b/pollenfold/tests/benchmarks/test_demo.py
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    "step, seen, text",
+    "step, counted, text",
     [
         (step_with(), make_runs({"k1": 2}), "key k1 ran 2 times"),
         (
@@ -136,10 +136,10 @@
         steady = await run_step(stage, "steady", 0.5)
         assert steady.broken_promises == []
         assert report(stage.steps) == 0
-        again = await run_step(stage, "resend keys", 0.5, resends_all=True)
-        assert again.greatest_runs == 2
-        assert len(again.resends) == len(again.broken_promises) > 0
-        assert all("ran 2 times" in text for text in again.broken_promises)
+        resent = await run_step(stage, "resend keys", 0.5, resends_all=True)
+        assert resent.greatest_runs == 2
+        assert len(resent.resends) == len(resent.broken_promises) > 0
+        assert all("ran 2 times" in text for text in resent.broken_promises)
         assert report(stage.steps) == 1
         later = await run_step(stage, "later", 0.2)
         assert later.broken_promises == []
@@ -158,8 +158,8 @@
         load = LoadResult({POST.name: ClassResult()})
         for n, state in enumerate(("unknown", "whole", "did_not_run")):
             load.outcomes.append(Outcome(POST, f"r{n}", f"k{n}", first, state))
-        again = await resend(stage, load, resends_all=False)
-        assert [(one.key, one.target) for one in again] == [("k0", second)]
+        resent = await resend(stage, load, resends_all=False)
+        assert [(outcome.key, outcome.target) for outcome in resent] == [("k0", second)]
         await backend.stop()
 
     run(main)
@@ -193,16 +193,16 @@
         with ProcessGroup(tmp_path) as group:
             cluster = Cluster(group, Topology(slots=64))
             hosts = [
-                *(one.host for one in cluster.control),
-                *(one.host for one in cluster.ledger),
-                *(one.host for one in cluster.entries),
-                *(one.host for one in cluster.backends),
+                *(replica.host for replica in cluster.control),
+                *(replica.host for replica in cluster.ledger),
+                *(entry.host for entry in cluster.entries),
+                *(server.host for server in cluster.backends),
             ]
             assert len(set(hosts)) == len(hosts) == 16
             cluster.start_backends()
             for backend in cluster.backends:
                 await wait_healthy(backend.host, backend.port)
-            b = next(one for one in cluster.backends if one.zone == "b")
+            b = next(server for server in cluster.backends if server.zone == "b")
             stage = Stage(((b.host, b.port),), [b.run_log], rate_per_s=40)
             await run_step(stage, "one", 0.5)
             received = [await cluster.received_in_zone(zone) for zone in "abc"]
--- a/pollenfold/tests/benchmarks/test_demo_steps.py
+++ b/pollenfold/tests/benchmarks/test_demo_steps.py
@@ -18,11 +18,13 @@
     async def start(self):
         self.start_backends()
         self.entries = [
-            EntryAddress(one.name, one.zone, one.host, one.port, one.port, 0)
-            for one in self.backends
+            EntryAddress(
+                backend.name, backend.zone, backend.host, backend.port, backend.port, 0
+            )
+            for backend in self.backends
         ]
-        for one in self.backends:
-            await wait_healthy(one.host, one.port)
+        for backend in self.backends:
+            await wait_healthy(backend.host, backend.port)
 
 
 @pytest.fixture
@@ -36,7 +38,7 @@
                 cluster = ClusterWithoutEntries(group, topology)
                 await cluster.start()
                 async with HealthChecks(cluster.entries) as checks:
-                    run_logs = [one.run_log for one in cluster.backends]
+                    run_logs = [backend.run_log for backend in cluster.backends]
                     stage = Stage(cluster.targets, run_logs, checks.up)
                     await body(stage, cluster)
 
@@ -77,17 +79,17 @@
     """Guards against executions that aren't counted after their process was killed."""
 
     async def body(stage, cluster):
-        one = cluster.backends[0]
+        backend = cluster.backends[0]
 
         async def ready():
-            await wait_healthy(one.host, one.port)
+            await wait_healthy(backend.host, backend.port)
 
-        await kill_and_restart(stage, cluster, "entry", one.name, ready)
+        await kill_and_restart(stage, cluster, "entry", backend.name, ready)
         # On a busy machine the load of that step can end before the server is ready.
         await demo.run_step(stage, "steady", 0.7)
         assert [step.broken_promises for step in stage.steps] == [[], []]
-        n_known = len(one.run_log.read_text().splitlines())
-        assert n_known > (await cluster.counts(one))["n_runs"] > 0
+        n_logged = len(backend.run_log.read_text().splitlines())
+        assert n_logged > (await cluster.counts(backend))["n_runs"] > 0
 
     with_stage(body)
 
--- a/pollenfold/tests/benchmarks/test_load.py
+++ b/pollenfold/tests/benchmarks/test_load.py
@@ -56,8 +56,8 @@
     async def main():
         server = await start_backend()
         result = await send(make_plan(server.port, n_connections=4))
-        one = result.classes["non_idempotent"]
-        assert one.n_sent == one.n_whole == server.counts.n_runs > 20
+        figures = result.classes["non_idempotent"]
+        assert figures.n_sent == figures.n_whole == server.counts.n_runs > 20
         assert {call.key for call in result.outcomes} == set(server.counts.runs)
         assert {call.state for call in result.outcomes} == {"whole"}
         assert set(server.counts.runs.values()) == {1}
@@ -75,10 +75,10 @@
             FaultOrder(faults=[{"kind": "slow", "delay_ms": 200, "n_requests": 1}])
         )
         result = await run_load(make_plan(server.port, n_connections=1))
-        one = result.classes["non_idempotent"]
+        figures = result.classes["non_idempotent"]
         # Calls that were due during the 200 ms stall waited 100 ms on average.
-        assert one.n_whole > 20
-        assert one.percentile_ms(50) > 50
+        assert figures.n_whole > 20
+        assert figures.percentile_ms(50) > 50
         await server.stop()
 
     run(main)
@@ -100,9 +100,9 @@
     async def main():
         server = await start_backend([{"kind": fault}])
         result = await run_load(make_plan(server.port, timeout_ms=50))
-        one = result.classes["non_idempotent"]
-        assert one.n_whole == 0
-        assert one.broken == {reason: one.n_sent}
+        figures = result.classes["non_idempotent"]
+        assert figures.n_whole == 0
+        assert figures.broken == {reason: figures.n_sent}
         assert {call.state for call in result.outcomes} == {"unknown"}
         await server.stop()
 
@@ -140,10 +140,12 @@
         server = HttpServer(respond)
         port = await server.start("127.0.0.1", 0)
         result = await run_load(make_plan(port, n_connections=1))
-        one = result.classes["non_idempotent"]
-        assert one.n_whole == 0
-        assert one.wrong == {"not its own": one.n_sent // 2}
-        assert one.refusals == {("no_lease", "did_not_run"): (one.n_sent + 1) // 2}
+        figures = result.classes["non_idempotent"]
+        assert figures.n_whole == 0
+        assert figures.wrong == {"not its own": figures.n_sent // 2}
+        assert figures.refusals == {
+            ("no_lease", "did_not_run"): (figures.n_sent + 1) // 2
+        }
         await server.stop()
 
     run(main)
@@ -157,13 +159,15 @@
         forwarder = Forwarder([("127.0.0.1", backend.port)], 64)
         server = HttpServer(forwarder.handle)
         port = await server.start("127.0.0.1", 0)
-        one = (await run_load(make_plan(port))).classes["non_idempotent"]
-        assert one.n_sent == one.n_whole > 20
+        figures = (await run_load(make_plan(port))).classes["non_idempotent"]
+        assert figures.n_sent == figures.n_whole > 20
         await backend.order(FaultOrder(faults=[{"kind": "truncated_answer"}]))
-        one = (await run_load(make_plan(port, name="damaged"))).classes[
+        figures = (await run_load(make_plan(port, name="damaged"))).classes[
             "non_idempotent"
         ]
-        assert one.refusals == {("backend_failed", "outcome_unknown"): one.n_sent}
+        assert figures.refusals == {
+            ("backend_failed", "outcome_unknown"): figures.n_sent
+        }
         await server.stop()
         await backend.stop()
 
--- a/pollenfold/tests/processes/system.py
+++ b/pollenfold/tests/processes/system.py
@@ -95,14 +95,16 @@
 
         async def is_warm() -> bool:
             await self.load(100, 0.5)
-            return all([await self._sends_to_all(one) for one in self.cluster.entries])
+            return all(
+                [await self._sends_to_all(entry) for entry in self.cluster.entries]
+            )
 
         await wait_until(is_warm, 20, "every backend server warm")
 
     async def _sends_to_all(self, entry: EntryAddress) -> bool:
         """Return whether an entry knows all endpoints and treats none as cold."""
         (service,) = (await self.entry_status(entry))["services"]
-        limits = [one["limit"] for one in service["endpoints"].values()]
+        limits = [endpoint["limit"] for endpoint in service["endpoints"].values()]
         return len(limits) == len(self.cluster.backends) and min(limits) > 0
 
     def process(self, node: EntryAddress | LedgerReplica | ControlReplica) -> Process:
@@ -173,7 +175,7 @@
 
     def executions(self) -> Runs:
         """Return the executions on all backend servers so far."""
-        return read_runs(one.run_log for one in self.cluster.backends)
+        return read_runs(backend.run_log for backend in self.cluster.backends)
 
     def broken_promises(self) -> list[str]:
         """Return where the outcomes that callers received contradict the executions."""
@@ -293,7 +295,7 @@
     An endpoint stays cold while its warm-up owner has free slots in its own zone.
     """
     cluster.entries = [replace(entry, zone="a") for entry in cluster.entries]
-    cluster.backends = [replace(one, zone="a") for one in cluster.backends]
+    cluster.backends = [replace(backend, zone="a") for backend in cluster.backends]
 
 
 def max_executions(executions: Counter[str], keys: list[str]) -> int:
--- a/pollenfold/tests/processes/test_at_most_once.py
+++ b/pollenfold/tests/processes/test_at_most_once.py
@@ -55,10 +55,10 @@
             for key in keys:
                 await group.spawn(system.send, first, "POST", "slow", key)
 
-            async def has_run():
+            async def are_executed():
                 return all(system.executions().by_key[key] for key in keys)
 
-            await wait_until(has_run, 10, "a run of each key")
+            await wait_until(are_executed, 10, "an execution of each key")
             system.process(first).kill()
         aborted = group.results
         early = [await system.send(second, "POST", "slow", key) for key in keys]
--- a/pollenfold/tests/processes/test_cold_start.py
+++ b/pollenfold/tests/processes/test_cold_start.py
@@ -36,7 +36,7 @@
         if not system.process(entry).is_running:
             continue
         (service,) = (await system.entry_status(entry))["services"]
-        if any(one["limit"] for one in service["endpoints"].values()):
+        if any(endpoint["limit"] for endpoint in service["endpoints"].values()):
             return entry
     return None
 
--- a/pollenfold/tests/processes/test_configuration.py
+++ b/pollenfold/tests/processes/test_configuration.py
@@ -49,7 +49,9 @@
     """Return the revision and the sorted records of a replica."""
     status, fields = await system.send_to_operator_port(replica, "GET", "/v1/records")
     assert status == 200, fields
-    listed = sorted(fields["records"], key=lambda one: (one["kind"], one["name"]))
+    listed = sorted(
+        fields["records"], key=lambda record: (record["kind"], record["name"])
+    )
     return fields["revision"], listed
 
 
@@ -126,14 +128,14 @@
         for version in range(1, 21):
             responses = await race(version)
             _, listed = await read_records(system, await system.leader())
-            stored = [one for one in listed if one["name"] == "127.0.9.1:999"]
+            stored = [record for record in listed if record["name"] == "127.0.9.1:999"]
             results.append((version, responses, stored))
         return results
 
     for version, responses, stored in run(main):
         assert sorted(status for status, _ in responses) == [200, 409], responses
         accepted = states[[status for status, _ in responses].index(200)]
-        assert [one["version"] for one in stored] == [version]
+        assert [record["version"] for record in stored] == [version]
         assert stored[0]["spec"]["state"] == accepted
 
 
@@ -170,7 +172,9 @@
         async with RevisionMonitor(system) as revisions:
             former = await system.leader()
             system.process(former).suspend()
-            others = [one for one in system.cluster.control if one is not former]
+            others = [
+                replica for replica in system.cluster.control if replica is not former
+            ]
             await curio.sleep(3)
             leader = await system.leader(others)
             status, fields = await post_until_decided(
@@ -203,7 +207,9 @@
     async def main():
         async with RevisionMonitor(system) as revisions:
             leader = await system.leader()
-            wiped, other = [one for one in system.cluster.control if one is not leader]
+            wiped, other = [
+                replica for replica in system.cluster.control if replica is not leader
+            ]
             system.process(other).kill()
             names = await add_endpoints(system, 5, 20)
             system.kill_and_wipe(wiped)
@@ -211,7 +217,7 @@
             await system.rejoin(wiped)
             system.process(leader).kill()
             _, listed = await read_records(system, await system.leader([wiped, other]))
-        return names, {one["name"] for one in listed}, revisions.decreases
+        return names, {record["name"] for record in listed}, revisions.decreases
 
     names, listed, decreases = run(main)
     assert set(names) <= listed
@@ -227,7 +233,9 @@
     async def main():
         async with RevisionMonitor(system) as revisions:
             leader = await system.leader()
-            wiped, older = [one for one in system.cluster.control if one is not leader]
+            wiped, older = [
+                other for other in system.cluster.control if other is not leader
+            ]
             system.process(older).kill()
             names = await add_endpoints(system, 6, 20)
             system.process(leader).kill()
@@ -244,7 +252,7 @@
                 await curio.sleep(0.1)
             system.group.restart(leader.replica_id)
             _, listed = await read_records(system, await system.leader())
-        return early, names, {one["name"] for one in listed}, revisions.decreases
+        return early, names, {record["name"] for record in listed}, revisions.decreases
 
     early, names, listed, decreases = run(main)
     assert 200 not in early
--- a/pollenfold/tests/processes/test_leaving.py
+++ b/pollenfold/tests/processes/test_leaving.py
@@ -22,7 +22,8 @@
     """Put no server into the zone of the entries, so that they prefer none."""
     cluster.entries = [replace(entry, zone="c") for entry in cluster.entries]
     cluster.backends = [
-        replace(one, zone="b" if one.zone == "b" else "a") for one in cluster.backends
+        replace(backend, zone="b" if backend.zone == "b" else "a")
+        for backend in cluster.backends
     ]
 
 
@@ -69,7 +70,7 @@
 
 def backend_in_zone_b(system):
     """Return the only backend server of zone b."""
-    (backend,) = [one for one in system.cluster.backends if one.zone == "b"]
+    (backend,) = [server for server in system.cluster.backends if server.zone == "b"]
     return backend
 
 
@@ -189,6 +190,6 @@
 
     n_late, left, late, results = run(main)
     assert left["state"] == "leaving"
-    assert [one["accepted"] for one in late] == [False] * len(entries), late
+    assert [response["accepted"] for response in late] == [False] * len(entries), late
     assert n_late == 0
     assert all(result.n_whole for result in results)
--- a/pollenfold/tests/processes/test_operation.py
+++ b/pollenfold/tests/processes/test_operation.py
@@ -57,9 +57,12 @@
     restarted = system.cluster.entries[0]
 
     async def counts():
-        listed = [await system.cluster.counts(one) for one in system.cluster.backends]
+        listed = [
+            await system.cluster.counts(backend) for backend in system.cluster.backends
+        ]
         return [
-            sum(one[name] for one in listed) for name in ("n_probes", "n_probe_bytes")
+            sum(counted[name] for counted in listed)
+            for name in ("n_probes", "n_probe_bytes")
         ]
 
     async def main():
