--- a/pollenfold/tests/benchmarks/test_demo_steps.py
+++ b/pollenfold/tests/benchmarks/test_demo_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the demo on real processes, with fake backend servers as the entries."""
+"""Tests of the demo's steps on real processes, with fake backend servers as entries."""
 
 import pytest
 
@@ -9,7 +9,8 @@
 
 
 class ClusterWithoutEntries(Cluster):
-    """Callers reach the servers directly, and operators' commands change nothing."""
+    """Cluster whose callers send directly to backend servers; operator commands do
+    nothing."""
 
     async def operate(self, *arguments):
         return ""
@@ -17,11 +18,13 @@
     async def start(self):
         self.start_backends()
         self.entries = [
-            EntryAddress(one.name, one.zone, one.host, one.port, one.port, 0)
-            for one in self.backends
+            EntryAddress(
+                backend.name, backend.zone, backend.host, backend.port, backend.port, 0
+            )
+            for backend in self.backends
         ]
-        for one in self.backends:
-            await wait_healthy(one.host, one.port)
+        for backend in self.backends:
+            await wait_healthy(backend.host, backend.port)
 
 
 @pytest.fixture
@@ -35,7 +38,7 @@
                 cluster = ClusterWithoutEntries(group, topology)
                 await cluster.start()
                 async with HealthChecks(cluster.entries) as checks:
-                    run_logs = [one.run_log for one in cluster.backends]
+                    run_logs = [backend.run_log for backend in cluster.backends]
                     stage = Stage(cluster.targets, run_logs, checks.up)
                     await body(stage, cluster)
 
@@ -45,7 +48,7 @@
 
 
 def test_planned_stop_that_drains_is_kept_and_a_kill_is_reported(with_stage):
-    """Guards against a stop step that can't tell a drain from a cut connection."""
+    """Guards against a stop step that treats a killed process as a planned stop."""
 
     async def body(stage, cluster):
         await stop_entry(stage, cluster, 0)
@@ -58,8 +61,8 @@
     with_stage(body)
 
 
-def test_zone_that_goes_on_getting_work_is_a_broken_promise(with_stage, monkeypatch):
-    """Guards against a zone step that counts no work, or at the wrong time."""
+def test_zone_that_still_receives_work_is_a_broken_promise(with_stage, monkeypatch):
+    """Guards against a zone step that counts no requests, or at the wrong time."""
     monkeypatch.setattr(demo, "ZONE_LIMIT_S", 0.2)
 
     async def body(stage, cluster):
@@ -73,26 +76,26 @@
 
 
 def test_killed_server_is_started_again_and_its_runs_are_kept(with_stage):
-    """Guards against runs that are forgotten with the process that was killed."""
+    """Guards against executions that aren't counted after their process was killed."""
 
     async def body(stage, cluster):
-        one = cluster.backends[0]
+        backend = cluster.backends[0]
 
         async def ready():
-            await wait_healthy(one.host, one.port)
+            await wait_healthy(backend.host, backend.port)
 
-        await kill_and_restart(stage, cluster, "entry", one.name, ready)
-        # On a busy machine the load of that step ends before the server is back.
+        await kill_and_restart(stage, cluster, "entry", backend.name, ready)
+        # On a busy machine the load of that step can end before the server is ready.
         await demo.run_step(stage, "steady", 0.7)
         assert [step.broken_promises for step in stage.steps] == [[], []]
-        n_known = len(one.run_log.read_text().splitlines())
-        assert n_known > (await cluster.counts(one))["n_runs"] > 0
+        n_logged = len(backend.run_log.read_text().splitlines())
+        assert n_logged > (await cluster.counts(backend))["n_runs"] > 0
 
     with_stage(body)
 
 
 def test_action_that_fails_is_reported_with_its_step(with_stage):
-    """Guards against a step that fails and is missing in the table."""
+    """Guards against a failed step that is missing from the report."""
 
     async def body(stage, cluster):
         async def fail():
