--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,11 +1,11 @@
 """Runs a command on copies of the repository, each with one mechanism switched off.
 
-    scripts/ablation --only penalties --keep 'worth' -- pytest -q pollenfold/tests/core
+    scripts/ablation --only penalties --keep passed -- pytest -q pollenfold/tests/core
 
-The command runs in the folder of each copy and once more in one without a change. Of
-its output the lines that hold ``--keep`` are printed, or the last one, with the time
-and the exit status: a mechanism whose absence no command notices is worth nothing, or
-lacks a test.
+The command runs in the folder of each copy, and first in an unchanged copy. The output
+lines that contain the ``--keep`` text are printed, or the last line without it, with
+the elapsed time and the exit status. A mechanism whose removal changes no result either
+has no effect or lacks a test.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-LIST = Path(__file__).with_name("ablations.toml")
-LEFT_OUT = shutil.ignore_patterns(
+ABLATIONS_FILE = Path(__file__).with_name("ablations.toml")
+IGNORED_FILES = shutil.ignore_patterns(
     ".git", ".venv", "journal", "__pycache__", ".*_cache", ".hypothesis"
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Mechanism:
-    """A mechanism with the change of one file that switches it off."""
+    """A mechanism and the text replacement in one file that switches it off."""
 
     name: str
     file: str
@@ -40,42 +40,44 @@
     new: str
 
     def switch_off(self, folder: Path) -> None:
-        """Change a copy; raise ValueError unless the text stands there once."""
+        """Edit a copy; raise ValueError unless ``old`` occurs exactly once."""
         path = folder / self.file
         text = path.read_text()
         if text.count(self.old) != 1:
-            raise ValueError(f"{self.name}: expected the text once in {self.file}")
+            raise ValueError(f"{self.name}: expected one match in {self.file}")
         path.write_text(text.replace(self.old, self.new))
 
 
-def load_mechanisms(path: Path = LIST) -> list[Mechanism]:
-    """Return the mechanisms of the list."""
+def load_mechanisms(path: Path = ABLATIONS_FILE) -> list[Mechanism]:
+    """Read the mechanisms from the TOML file."""
     fields = tomllib.loads(path.read_text())
     return [Mechanism(**item) for item in fields["mechanism"]]
 
 
-def run_without(mechanism: Mechanism | None, command: list[str], keep: str) -> str:
-    """Run the command on a copy without a mechanism; return lines for the table."""
+def run_with_ablation(
+    mechanism: Mechanism | None, command: list[str], keep: str
+) -> str:
+    """Run the command on a copy without the mechanism; return the report lines."""
     name = "nothing" if mechanism is None else mechanism.name
     with tempfile.TemporaryDirectory(prefix="ablation-", dir=ROOT.parent) as parent:
         folder = Path(parent) / "copy"
-        shutil.copytree(ROOT, folder, ignore=LEFT_OUT)
+        shutil.copytree(ROOT, folder, ignore=IGNORED_FILES)
         if mechanism is not None:
             mechanism.switch_off(folder)
         started_at = time.monotonic()
         environment = {**os.environ, "PYTHONPATH": str(folder)}
-        done = subprocess.run(
+        completed = subprocess.run(
             command, cwd=folder, env=environment, capture_output=True, text=True
         )
         elapsed_s = time.monotonic() - started_at
-    lines = done.stdout.splitlines() or ["no output"]
-    kept = [line for line in lines if keep in line] if keep else lines[-1:]
-    head = f"without {name}: status={done.returncode} elapsed_s={elapsed_s:.0f}"
-    return "\n".join([head, *(f"    {line}" for line in kept)])
+    lines = completed.stdout.splitlines() or ["no output"]
+    printed_lines = [line for line in lines if keep in line] if keep else lines[-1:]
+    summary = f"without {name}: status={completed.returncode} elapsed_s={elapsed_s:.0f}"
+    return "\n".join([summary, *(f"    {line}" for line in printed_lines)])
 
 
 def chosen(names: Iterable[str], mechanisms: list[Mechanism]) -> list[Mechanism]:
-    """Return the mechanisms with these names, all for none; raise ValueError."""
+    """Return the named mechanisms, or all; raise ValueError for an unknown name."""
     wanted = set(names)
     known = {mechanism.name for mechanism in mechanisms}
     if not wanted <= known:
@@ -89,8 +91,10 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--only", nargs="*", default=[], metavar="NAME")
     parser.add_argument("--keep", default="", help="print output lines with this text")
-    parser.add_argument("--jobs", type=int, default=1, help="copies at a time")
-    parser.add_argument("command", nargs="+", help="what to run in each copy")
+    parser.add_argument(
+        "--jobs", type=int, default=1, help="number of copies tested in parallel"
+    )
+    parser.add_argument("command", nargs="+", help="command to run in each copy")
     arguments = parser.parse_args()
     try:
         mechanisms = chosen(arguments.only, load_mechanisms())
@@ -99,7 +103,7 @@
     cases: list[Mechanism | None] = [None, *mechanisms]
 
     def run(case: Mechanism | None) -> str:
-        return run_without(case, arguments.command, arguments.keep)
+        return run_with_ablation(case, arguments.command, arguments.keep)
 
     with ThreadPoolExecutor(arguments.jobs) as pool:
         for text in pool.map(run, cases):
--- a/benchmarks/agreement_cost.py
+++ b/benchmarks/agreement_cost.py
@@ -1,4 +1,4 @@
-"""Measures what three control replicas cost on loopback, idle and for each change.
+"""Measures the cost of three control replicas on loopback, idle and per change.
 
 All replicas run in this one process, so the CPU share of one replica is a third of
 the process. Bytes are the frames of both directions, without TCP and IP headers.
@@ -32,14 +32,14 @@
         self.n_bytes = 0
 
     def wrap(self, handle):
-        """Return the handler with its traffic counted."""
+        """Return a handler that also counts the bytes of each exchange."""
 
-        async def counted(payload: bytes) -> bytes:
-            answer = await handle(payload)
-            self.n_bytes += len(payload) + len(answer) + 2 * HEADER_BYTES
-            return answer
+        async def handle_and_count(payload: bytes) -> bytes:
+            response = await handle(payload)
+            self.n_bytes += len(payload) + len(response) + 2 * HEADER_BYTES
+            return response
 
-        return counted
+        return handle_and_count
 
 
 async def start_replicas(folder: Path, counter: ByteCounter) -> list[Replica]:
@@ -66,7 +66,7 @@
 
 
 async def wait_for_leader(replicas: list[Replica]) -> Replica:
-    """Return the leader once there is one."""
+    """Poll the replicas until one is the leader, and return it."""
     while True:
         for replica in replicas:
             if replica.is_leader():
--- a/benchmarks/arrivals.py
+++ b/benchmarks/arrivals.py
@@ -1,4 +1,4 @@
-"""When the calls of an open-loop load are due, in milliseconds from its start."""
+"""Arrival times of open-loop load, in milliseconds from its start."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 def poisson_arrivals(
     rate_per_s: float, duration_ms: float, rng: random.Random
 ) -> Iterator[float]:
-    """Yield the instants of a Poisson process, in order."""
+    """Yield the arrival times of a Poisson process, in order."""
     at_ms = rng.expovariate(rate_per_s) * 1000
     while at_ms < duration_ms:
         yield at_ms
--- a/benchmarks/call_cost.py
+++ b/benchmarks/call_cost.py
@@ -1,8 +1,8 @@
-"""Measures what a call costs an entry, beside the bare forwarder in the same run.
+"""Measures the CPU time of an entry per call, and that of the baseline forwarder.
 
-One entry process gets calls at several rates; the slope of its processor time over
-the rate is the cost of a call, and the intercept is the cost of doing nothing. The
-control replicas and the ledger run as in production.
+One entry process receives calls at several rates. The slope of its CPU time over the
+rate is the cost of a call, and the intercept is the idle cost. The control replicas and
+the ledger run as in production.
 
     python -m benchmarks.call_cost --rates 100 200 300
 """
@@ -22,7 +22,7 @@
 
 PHASE_S = 4.0
 N_ROUNDS = 3
-"""Rounds alternate between the paths, so that drift of the machine meets all."""
+"""Rounds alternate between the paths, so that load drift affects all of them."""
 
 KINDS = {
     "idempotent": CallKind("idempotent", "GET", "/pearl-market/stock", 1.0),
@@ -38,7 +38,7 @@
     plan_seed: int,
     rate_per_s: float,
 ) -> tuple[float, float]:
-    """Return the rate of whole answers and the processor time in s for each s."""
+    """Return complete responses per second and CPU seconds per second."""
     process_id = group.processes[path].popen.pid
     plan = LoadPlan(
         (address,),
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -1,4 +1,4 @@
-"""A whole system of real processes on loopback addresses, for demo and benchmarks."""
+"""A complete system of processes on loopback addresses, for demo and benchmarks."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendAddress:
-    """One fake backend server; ``run_log`` outlives it."""
+    """One fake backend server; ``run_log`` is a file that survives its restarts."""
 
     name: str
     service: str
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """How many processes of each role, and the load that each server bears."""
+    """Number of processes of each role, and the capacity of each backend server."""
 
     n_control: int = 3
     n_ledger: int = 3
@@ -78,7 +78,7 @@
 
 
 def initial_records(topology: Topology) -> list[dict[str, Any]]:
-    """Return the records of the system; the services alternate in schema version."""
+    """Return the initial records; the services alternate in schema version."""
     records = [_record("fleet", "default", {"max_entries": topology.n_entries + 1})]
     for zone in ZONES:
         records.append(_record("zone", zone, {"state": "in", "region": "r1"}))
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class Cluster:
-    """The addresses and processes of one system; ``start`` makes it ready."""
+    """The addresses and processes of one system; ``start`` starts all of them."""
 
     group: ProcessGroup
     topology: Topology
@@ -186,13 +186,16 @@
             self.group.start(backend.name, command)
 
     async def apply(self, record: dict[str, Any], file_name: str) -> str:
-        """Apply one record with the command line."""
+        """Apply one record with the command line tool."""
         path = self.group.folder / file_name
         path.write_text(json.dumps(record))
         return await self.operate("apply", str(path))
 
     async def operate(self, *arguments: str) -> str:
-        """Run an operator's command and return its output; fail with its log."""
+        """Run an operator command and return its output.
+
+        Raise RuntimeError with the end of its log when it fails.
+        """
         self.n_operator_commands += 1
         name = f"operator-{self.n_operator_commands}"
         command = operator_command(list(arguments), self.control, TOKEN)
@@ -206,25 +209,27 @@
         return process.log_tail()
 
     async def counts(self, backend: BackendAddress) -> dict[str, Any]:
-        """Return what a fake backend server counted."""
+        """Return the counters of a fake backend server."""
         response = await request(backend.host, backend.port, "GET", "/stand-in/counts")
         if response is None:
-            raise RuntimeError(f"expected the counts of {backend.name}, got no answer")
+            raise RuntimeError(
+                f"expected the counts of {backend.name}, got no response"
+            )
         counts: dict[str, Any] = json.loads(response.body)
         return counts
 
     async def received_in_zone(self, zone: str) -> int:
-        """Return the requests for work that the servers of a zone received so far."""
-        counts = [await self.counts(one) for one in self.backends if one.zone == zone]
-        return sum(one["n_received"] for one in counts)
+        """Return the number of requests that the servers of a zone have received."""
+        counts = [await self.counts(b) for b in self.backends if b.zone == zone]
+        return sum(counters["n_received"] for counters in counts)
 
     async def wait_for_work(self, timeout_s: float = 20) -> None:
-        """Return when every service answers through every entry.
+        """Wait until every service responds through every entry.
 
-        New servers are cold and new entries wait before they send to them.
+        New servers are cold, and new entries wait before they send requests to them.
         """
 
-        async def answers() -> bool:
+        async def all_services_respond() -> bool:
             for host, port in self.targets:
                 for service in self.topology.services:
                     response = await request(host, port, "GET", f"/{service}/ready")
@@ -232,11 +237,13 @@
                         return False
             return True
 
-        await wait_until(answers, timeout_s, "an answer of each service")
+        await wait_until(
+            all_services_respond, timeout_s, "a response from each service"
+        )
 
 
 class HealthChecks:
-    """The health checks of the platform's load balancer, at a fixed interval.
+    """Checks the health of the entries as the platform's load balancer does.
 
     ``up`` holds the caller addresses of the entries whose last check succeeded.
     """
@@ -260,8 +267,8 @@
     async def _check(self, entry: EntryAddress) -> None:
         address = (entry.host, entry.caller_port)
         while True:
-            answer = await request(entry.host, entry.platform_port, "GET", "/healthz")
-            if answer is not None and answer.status == 200:
+            response = await request(entry.host, entry.platform_port, "GET", "/healthz")
+            if response is not None and response.status == 200:
                 self.up.add(address)
             else:
                 self.up.discard(address)
--- a/benchmarks/connection.py
+++ b/benchmarks/connection.py
@@ -1,7 +1,7 @@
-"""A caller's connection that costs little, so that the load tool is not measured.
+"""A client connection with low overhead, so that the load tool adds little latency.
 
-It reads answers with a declared length only, which is all that the servers of this
-project send, and treats everything else as broken.
+It reads only responses with a Content-Length, which is all that the servers of this
+project send, and raises ResponseError for all others.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 from curio import socket
 
 
-class BrokenAnswer(Exception):
-    """No whole answer came; the text says what came instead."""
+class ResponseError(Exception):
+    """No complete response was received; the message is a key of the figures."""
 
 
 @dataclass(slots=True)
-class Answer:
-    """One whole answer; header names are in lower case."""
+class Response:
+    """One complete response; header names are in lower case."""
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
 
     def refusal(self) -> tuple[str, str]:
-        """Return the error kind and the run state of an answer that is no success."""
+        """Return the error kind and the run state of an unsuccessful response."""
         try:
             fields: dict[str, Any] = json.loads(self.body)
             return str(fields["error"]), str(fields["run_state"])
@@ -44,33 +44,33 @@
         self.port = port
         self._sock: Any = None
 
-    async def call(self, request: bytes, timeout_ms: float) -> Answer:
-        """Send the bytes of one request and return its answer.
+    async def call(self, request: bytes, timeout_ms: float) -> Response:
+        """Send the bytes of one request and return its response.
 
-        Raise BrokenAnswer when the connection fails, the answer is not whole, or
-        the time is over.
+        Raise ResponseError when the connection fails, the response is incomplete or
+        malformed, or the timeout expires.
         """
         try:
             async with curio.timeout_after(timeout_ms / 1000):
                 if self._sock is None:
                     await self.open()
                 await self._sock.sendall(request)
-                answer = await self._read()
+                response = await self._read_response()
         except curio.TaskTimeout as error:
             await self.close()
-            raise BrokenAnswer(f"no answer after {timeout_ms} ms") from error
+            raise ResponseError(f"no answer after {timeout_ms} ms") from error
         except ConnectionRefusedError as error:
             await self.close()
-            raise BrokenAnswer("connection refused") from error
+            raise ResponseError("connection refused") from error
         except OSError as error:
             await self.close()
-            raise BrokenAnswer("connection broken") from error
+            raise ResponseError("connection broken") from error
         except BaseException:
             await self.close()
             raise
-        if answer.headers.get(b"connection") == b"close":
+        if response.headers.get(b"connection") == b"close":
             await self.close()
-        return answer
+        return response
 
     async def open(self) -> None:
         """Connect; raise OSError when the server can't be reached."""
@@ -83,7 +83,7 @@
         if sock is not None:
             await sock.close()
 
-    async def _read(self) -> Answer:
+    async def _read_response(self) -> Response:
         data = b""
         while (end := data.find(b"\r\n\r\n")) < 0:
             data += await self._receive("connection closed before the answer", data)
@@ -96,17 +96,17 @@
             status = int(status_line.split(b" ", 2)[1])
             n_bytes = end + 4 + int(headers[b"content-length"])
         except (ValueError, KeyError, IndexError) as error:
-            raise BrokenAnswer("malformed answer") from error
+            raise ResponseError("malformed answer") from error
         while len(data) < n_bytes:
             data += await self._receive("truncated answer", data)
         if len(data) > n_bytes:
-            raise BrokenAnswer("surplus bytes after the answer")
-        return Answer(status, headers, data[end + 4 :])
+            raise ResponseError("surplus bytes after the answer")
+        return Response(status, headers, data[end + 4 :])
 
-    async def _receive(self, failure: str, so_far: bytes) -> bytes:
+    async def _receive(self, failure: str, received: bytes) -> bytes:
         chunk: bytes = await self._sock.recv(65536)
         if not chunk:
-            raise BrokenAnswer(failure if so_far else "connection closed")
+            raise ResponseError(failure if received else "connection closed")
         return chunk
 
 
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -1,8 +1,8 @@
-"""Measures what the decisions of the call path cost, without sockets and HTTP.
+"""Measures the CPU cost of the proxy per call, without sockets and HTTP.
 
 A proxy with 20 warm endpoints serves one idempotent request after another over a
-connection that answers at once. The best of several rounds is printed, because other
-work on the machine only adds to it.
+connection that responds immediately. The minimum over several rounds is printed,
+because other work on the machine can only increase the time.
 
     python -m benchmarks.decision_cost
 """
@@ -39,13 +39,13 @@
 
 
 class InstantConnection:
-    """A connection whose response is there at once."""
+    """A connection whose response is available immediately."""
 
     reusable = True
     n_exchanges = 0
 
     async def send(self, *parts: object) -> None:
-        """Take a request."""
+        """Count the request and discard it."""
         self.n_exchanges += 1
 
     async def wait(self, timeout_ms: float) -> Response:
@@ -54,7 +54,7 @@
 
 
 class InstantPool:
-    """A pool with one such connection."""
+    """A connection pool with a single ``InstantConnection``."""
 
     def __init__(self, host: str, port: int, limit: int) -> None:
         self.limit = limit
@@ -65,7 +65,7 @@
         return self._connection
 
     async def release(self, connection: InstantConnection) -> None:
-        """Take the connection back."""
+        """Do nothing; the connection is shared."""
 
     async def close(self) -> None:
         """Do nothing."""
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -1,7 +1,7 @@
-"""The demo: a whole system under load while zones leave and processes end.
+"""Demo of a complete system under load during zone evacuations and process failures.
 
-Called by ``scripts/demo``. Prints a table with one row for each step and exits with
-status 1 when a promise was broken, 2 when the system could not be started.
+Called by ``scripts/demo``. Prints a table with one row per step. The exit status is 1
+when a promise was broken and 2 when the system could not be started.
 """
 
 from __future__ import annotations
@@ -39,15 +39,15 @@
 )
 
 ZONE_LIMIT_S = 3.0
-"""Stated limit: after it a zone that was taken out gets no new work."""
+"""Documented limit after which an evacuated zone receives no new requests."""
 
 Action = Callable[[], Awaitable[int | None]]
-"""Taken during a step; returns the late work in a zone that it took out."""
+"""Runs during a step; returns the number of late requests in an evacuated zone."""
 
 
 @dataclass(slots=True)
 class Stage:
-    """Where the load goes, and the run logs of the servers behind."""
+    """The targets of the load, the run logs of the backend servers, and the results."""
 
     targets: tuple[Address, ...]
     run_logs: list[Path]
@@ -66,11 +66,11 @@
     may_break: bool = False,
     resends_all: bool = False,
 ) -> StepResult:
-    """Send load, take the action half a second later, then resend keys and check.
+    """Send load, run the action half a second later, then resend keys and check.
 
-    Keys whose outcome is unknown are sent again through another entry; with
-    ``resends_all`` every key is. An action that fails counts as a broken promise, and
-    the next step goes on.
+    Keys with an unknown outcome are sent again through another entry, or all keys with
+    ``resends_all``. A failed action counts as a broken promise; the later steps still
+    run.
     """
     plan = LoadPlan(
         stage.targets,
@@ -99,55 +99,57 @@
 
 
 def finish_step(stage: Stage, step: StepResult) -> None:
-    """Check a step and add it to the table; a promise broken earlier counts once."""
+    """Check a step and store its result; omit violations of earlier steps."""
     runs = read_runs(stage.run_logs)
-    known = {text for one in stage.steps for text in one.broken_promises}
+    already_reported = {text for s in stage.steps for text in s.broken_promises}
     step.broken_promises = [
-        text for text in check_step(step, runs) if text not in known
+        text for text in check_step(step, runs) if text not in already_reported
     ]
     step.greatest_runs = max(runs.by_key.values(), default=0)
     stage.steps.append(step)
 
 
 async def resend(stage: Stage, load: LoadResult, resends_all: bool) -> list[Outcome]:
-    """Send keys again through another entry than the first time."""
-    again = LoadResult({name: ClassResult() for name in load.classes})
-    sender = Sender(LoadPlan(stage.targets, 1, 0, stage.seed), again)
-    for one in list(load.outcomes):
-        if not one.key or (one.state != "unknown" and not resends_all):
+    """Send keys again, each through a different entry than the first time."""
+    resent = LoadResult({name: ClassResult() for name in load.classes})
+    sender = Sender(LoadPlan(stage.targets, 1, 0, stage.seed), resent)
+    for outcome in list(load.outcomes):
+        if not outcome.key or (outcome.state != "unknown" and not resends_all):
             continue
         up = stage.targets if stage.healthy is None else stage.healthy
-        others = [target for target in stage.targets if target != one.target]
-        target = next((other for other in others if other in up), one.target)
-        call = Call(one.kind, 0.0, f"{one.request_id}-again", one.key)
+        others = [target for target in stage.targets if target != outcome.target]
+        target = next((other for other in others if other in up), outcome.target)
+        call = Call(outcome.kind, 0.0, f"{outcome.request_id}-again", outcome.key)
         await sender.send(call, target)
     await sender.close()
-    for name, figures in again.classes.items():
+    for name, figures in resent.classes.items():
         load.classes[name].wrong += figures.wrong
-    return again.outcomes
+    return resent.outcomes
 
 
 async def take_zone_out(stage: Stage, cluster: Cluster, zone: str) -> None:
-    """Take a zone out under load and count its new work after the limit.
+    """Evacuate a zone under load and count the new requests there after the limit.
 
-    The time runs from the start of the operator's command.
+    The limit counts from the start of the operator's command.
     """
 
-    async def leave() -> int:
+    async def remove_zone() -> int:
         if await cluster.received_in_zone(zone) == 0:
-            raise RuntimeError(f"expected work in zone {zone} before it leaves, got 0")
+            raise RuntimeError(
+                f"expected requests in zone {zone} before the evacuation"
+            )
         command = await curio.spawn(cluster.operate, "zone", "out", zone)
         await curio.sleep(ZONE_LIMIT_S)
         n_before = await cluster.received_in_zone(zone)
         await curio.sleep(2)
         n_late_work = await cluster.received_in_zone(zone) - n_before
-        await _finished(command)
+        await _join_command(command)
         return n_late_work
 
-    await run_step(stage, f"zone {zone} out", 0.5 + ZONE_LIMIT_S + 2.5, leave)
+    await run_step(stage, f"zone {zone} out", 0.5 + ZONE_LIMIT_S + 2.5, remove_zone)
 
 
-async def _finished(command: curio.Task) -> None:
+async def _join_command(command: curio.Task) -> None:
     try:
         await command.join()
     except curio.TaskError as error:
@@ -155,7 +157,7 @@
 
 
 async def take_zone_in(stage: Stage, cluster: Cluster, zone: str) -> None:
-    """Bring a zone back; its servers warm up under load."""
+    """Return a zone to service; its servers warm up under load."""
 
     async def return_zone() -> None:
         await cluster.operate("zone", "in", zone)
@@ -182,7 +184,7 @@
 
 
 async def stop_entry(stage: Stage, cluster: Cluster, n: int) -> None:
-    """Stop an entry as planned under load; it must interrupt no request."""
+    """Stop an entry with SIGTERM under load; no request may be interrupted."""
     name = cluster.entries[n].entry_id
     process = cluster.group.processes[name]
 
@@ -246,7 +248,7 @@
 
 
 def report(steps: list[StepResult]) -> int:
-    """Print the table and every broken promise; return the exit status."""
+    """Print the table and all broken promises; return the exit status."""
     print(format_table(steps))
     for line in refusal_lines(steps):
         print(f"refused: {line}")
@@ -272,7 +274,7 @@
     """Run the demo with the flags of the command line."""
     settings = DemoSettings(_cli_parse_args=True)  # type: ignore[call-arg]
     if not daemons_exist():
-        print("expected the daemons in pollenfold/, found none", file=sys.stderr)
+        print("the pollenfold program has no daemon commands", file=sys.stderr)
         return 2
     started_at = time.monotonic()
     with tempfile.TemporaryDirectory() as temporary:
@@ -282,7 +284,7 @@
             try:
                 steps = curio.run(run_demo, cluster, settings.seed)
             except (RuntimeError, TimeoutError) as error:
-                print(f"the system did not start: {error}", file=sys.stderr)
+                print(f"system failed to start: {error}", file=sys.stderr)
                 for process in group.processes.values():
                     if not process.is_running:
                         print(f"{process.name}: {process.log_tail(5)}", file=sys.stderr)
--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -1,4 +1,4 @@
-"""Straight-line fits of measured costs, and the cost of processes."""
+"""Linear fits of measured costs, and CPU, memory and network use of processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def processor_s(process_id: int) -> float:
-    """Return the user and system time in seconds of a process so far."""
+    """Return the CPU time (user and system) of a process in seconds."""
     fields = Path(f"/proc/{process_id}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
 
@@ -29,9 +29,9 @@
 
 
 def stream_bytes_by_process() -> Counter[int] | None:
-    """Return the bytes that open TCP connections of each process sent and received.
+    """Return the bytes sent and received on the open TCP connections of each process.
 
-    The figures are the kernel's, as ``ss`` shows them; None where it is missing.
+    These are the kernel's counters as ``ss`` prints them; None when ``ss`` is missing.
     """
     if shutil.which("ss") is None:
         return None
@@ -49,8 +49,8 @@
 def fit_line(name: str, unit: str, points: list[tuple[float, float]]) -> str:
     """Return one output line with slope, intercept and greatest error of a fit.
 
-    ``max_error`` is the greatest distance of a point from the line, as a share of
-    the point's value.
+    ``max_error`` is the greatest deviation of a point from the line, relative to the
+    point's value.
     """
     xs, ys = zip(*points, strict=True)
     slope, intercept = statistics.linear_regression(xs, ys)
--- a/benchmarks/forwarder.py
+++ b/benchmarks/forwarder.py
@@ -1,7 +1,7 @@
-"""The baseline: a forwarder with pooled connections and nothing else.
+"""The baseline of the benchmarks: a forwarder with pooled connections.
 
-It reads a whole request, sends it to the next target and writes the whole response,
-with the HTTP adapters of the package and none of its decisions.
+It reads a complete request, sends it to the next target and writes the complete
+response. It uses the HTTP adapters of the package, but none of its load balancing.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class Forwarder:
-    """Sends requests to its targets in turn."""
+    """Forwards requests to its targets in round-robin order."""
 
     def __init__(self, targets: list[tuple[str, int]], n_connections: int) -> None:
         self._pools = itertools.cycle(
@@ -45,7 +45,7 @@
         )
 
     async def handle(self, request: Request) -> Response:
-        """Forward one request; answer with an error kind when that fails."""
+        """Forward one request; return an error response when that fails."""
         pool = next(self._pools)
         try:
             connection = await pool.acquire(CONNECT_TIMEOUT_MS)
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -1,8 +1,8 @@
-"""Measures what each entry costs a control leader: processor time, bytes, memory.
+"""Measures the cost of each entry for the control leader: CPU time, bytes, memory.
 
-Three real control processes serve lease renewals of a number of clients, which run
-the entry's own configuration client in this process. Bytes are those of the TCP
-streams in both directions, as the kernel counts them.
+Three control processes serve the lease renewals of a number of clients in this process,
+which use the configuration client of the entry. Bytes are those of the TCP streams in
+both directions, as counted by the kernel.
 
     python -m benchmarks.lease_cost --sizes 6 12 24 48
 """
@@ -27,7 +27,7 @@
 MEASURE_S = 6.0
 SETTLE_S = 3.0
 _BYTES_ACKED_OFFSET = 120
-"""Place of ``tcpi_bytes_acked`` in the kernel's ``tcp_info``; received follows."""
+"""Offset of ``tcpi_bytes_acked`` in ``tcp_info``; ``tcpi_bytes_received`` follows."""
 
 
 def stream_bytes(clients: list[ConfigurationClient]) -> int:
@@ -43,7 +43,7 @@
 
 
 async def measure(cluster: Cluster, n_entries: int) -> dict[str, float]:
-    """Return the cost at the busiest control replica with this many entries."""
+    """Return the cost at the busiest control replica for a number of entries."""
     control = [replica.replica_id for replica in cluster.control]
     addresses = [(r.host, r.peer_port) for r in cluster.control]
     process_ids = {name: cluster.group.processes[name].popen.pid for name in control}
@@ -92,7 +92,7 @@
                     print(f" {name}={value:.4g}", end="")
                     points.setdefault(name, []).append((n_entries, value))
                 print(flush=True)
-                # The leases of this size end before the next one starts.
+                # Lets these leases expire before the next size is measured.
                 await curio.sleep(2.5)
     for name in ("cpu_percent", "bytes_per_s", "memory_mb"):
         print(fit_line(f"lease.{name}", "for each entry", points[name]))
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -1,9 +1,9 @@
 """Cost of a claim on three replica processes on loopback.
 
-``python -m benchmarks.ledger_cost`` prints ``name=value`` lines for every number of
-stored keys, beside the round trip of a request without a sync and the sync alone in
-the same run. All processes share one machine, so latencies include their competition
-for its cores.
+``python -m benchmarks.ledger_cost`` prints ``name=value`` lines for each number of
+stored keys. As baselines from the same run it prints the round trip of a request
+without a sync, and the time of a sync alone. All processes share one machine, so
+latencies include contention for its cores.
 """
 
 from __future__ import annotations
@@ -50,13 +50,13 @@
     async def _ask(self, index, payload):
         replica = self._replicas[index]
         result = await replica.call(Protocol.LEDGER, payload, 1000)
-        answer = len(result.ok) if result.is_ok() else 0
-        self.n_bytes += 2 * HEADER_BYTES + len(payload) + answer
+        n_response_bytes = len(result.ok) if result.is_ok() else 0
+        self.n_bytes += 2 * HEADER_BYTES + len(payload) + n_response_bytes
         return self._decode(result)
 
 
 def free_ports(n: int) -> list[int]:
-    """Return ports that the kernel assigned."""
+    """Return free ports assigned by the kernel."""
     socks = [socket.socket() for _ in range(n)]
     for sock in socks:
         sock.bind(("127.0.0.1", 0))
@@ -88,7 +88,7 @@
     return HdrHistogram(1, 10_000_000, 3)
 
 
-async def timed(histogram: HdrHistogram, function, *args):
+async def record_duration(histogram: HdrHistogram, function, *args):
     """Await the call and record how long it took."""
     started = time.perf_counter_ns()
     result = await function(*args)
@@ -103,27 +103,27 @@
         report(f"{name}_p{percentile}_ms", value_ms)
 
 
-async def fill(client: LedgerClient, first: int, last: int) -> None:
-    """Claim the keys ``first`` to ``last`` - 1 with some in flight at once."""
+async def claim_keys(client: LedgerClient, first: int, last: int) -> None:
+    """Claim the keys ``first`` to ``last`` - 1, ``N_IN_FLIGHT`` at a time."""
 
-    async def work(offset: int) -> None:
+    async def claim_every_nth_key(offset: int) -> None:
         for n in range(first + offset, last, N_IN_FLIGHT):
-            answer = await client.claim(f"key-{n:010}", f"claim-{n:010}", 5000)
-            if answer != Claimed():
-                raise SystemExit(f"expected a claim of key {n}, got {answer}")
+            claim_result = await client.claim(f"key-{n:010}", f"claim-{n:010}", 5000)
+            if claim_result != Claimed():
+                raise SystemExit(f"expected a claim of key {n}, got {claim_result}")
 
     async with curio.TaskGroup() as group:
         for offset in range(N_IN_FLIGHT):
-            await group.spawn(work, offset)
+            await group.spawn(claim_every_nth_key, offset)
 
 
 async def measure_baseline(address: tuple[str, int], folder: Path) -> None:
-    """Print the cost of a bare round trip and of a bare sync."""
+    """Print the latency of a round trip without a sync, and of a sync alone."""
     peer = RpcClient(*address)
     payload = encode_request("", StatusRequest())
     calls, syncs = new_histogram(), new_histogram()
     for _ in range(N_LATENCY_CLAIMS):
-        await timed(calls, peer.call, Protocol.LEDGER, payload, 1000)
+        await record_duration(calls, peer.call, Protocol.LEDGER, payload, 1000)
     await peer.close()
     with (folder / "sync").open("wb", buffering=0) as file:
         for _ in range(N_LATENCY_CLAIMS):
@@ -138,13 +138,13 @@
 async def measure_size(
     client: CountingClient, pids: list[int], start: int, size: int
 ) -> None:
-    """Print throughput and cost up to ``size`` keys, then the latency there."""
+    """Print throughput and cost of claims up to ``size`` keys, then the latency."""
     n_claims = size - start
     replica_cpu_s = sum(map(cpu_s, pids))
     memory_bytes = sum(map(resident_bytes, pids))
     client_cpu_s, started = time.process_time(), time.perf_counter()
     client.n_bytes = 0
-    await fill(client, start, size)
+    await claim_keys(client, start, size)
     report(f"claims_per_s_{size}", n_claims / (time.perf_counter() - started), 0)
     entry_ms = 1000 * (time.process_time() - client_cpu_s) / n_claims
     replica_ms = 1000 * (sum(map(cpu_s, pids)) - replica_cpu_s) / n_claims
@@ -156,14 +156,14 @@
     claims, completions = new_histogram(), new_histogram()
     for n in range(N_LATENCY_CLAIMS):
         key, claim_id = f"slow-{size}-{n}", f"claim-{n}"
-        await timed(claims, client.claim, key, claim_id, 5000)
-        await timed(completions, client.complete, key, claim_id, OUTCOME)
+        await record_duration(claims, client.claim, key, claim_id, 5000)
+        await record_duration(completions, client.complete, key, claim_id, OUTCOME)
     report_latency(f"claim_{size}", claims)
     report_latency(f"complete_{size}", completions)
 
 
 async def wait_until_voting(peer: RpcClient) -> None:
-    """Ask for the status of a replica until it is not blank."""
+    """Poll the status of a replica until it is not blank."""
     payload = encode_request("", StatusRequest())
     while True:
         result = await peer.call(Protocol.LEDGER, payload, 1000)
@@ -181,7 +181,7 @@
     async with curio.timeout_after(START_LIMIT_S):
         for address in addresses.values():
             await wait_until_voting(RpcClient(*address))
-    await fill(client, 0, N_WARM_UP)
+    await claim_keys(client, 0, N_WARM_UP)
     await measure_baseline(addresses["a"], folder)
     start = N_WARM_UP
     for size in sizes:
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,4 +1,4 @@
-"""Open-loop load generator: calls are due when the seed says, not when others end.
+"""Open-loop load generator: the seed sets the send times, not earlier responses.
 
 ``python -m benchmarks.load --targets 127.0.0.1:8080 --rate-per-s 500`` prints one
 ``name=value`` line for each figure.
@@ -22,13 +22,13 @@
 from pollenfold.testing.answers import check_answer
 
 from .arrivals import burst_arrivals, poisson_arrivals
-from .connection import Answer, BrokenAnswer, CallerConnection, encode_request
+from .connection import CallerConnection, Response, ResponseError, encode_request
 
 Address = tuple[str, int]
 
 SPIN_MS = 1.5
-"""The event loop wakes with a resolution of 1 ms, so the last part of each wait is
-spent polling. Otherwise the figures would contain that millisecond."""
+"""The event loop wakes with a resolution of 1 ms, so the end of each wait polls the
+clock. Otherwise the latencies would include up to one millisecond of timer delay."""
 
 MAX_LATENCY_US = 60_000_000
 
@@ -52,12 +52,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """What to send where; the same plan sends the same calls.
+    """Calls and targets of one load run; equal plans send equal calls.
 
-    ``n_connections`` is the greatest number of calls at once. A call that finds all
-    of them busy waits, and its wait is part of its latency. ``name`` keeps the keys of
-    several plans apart. ``healthy``, when given, is a collection that another task
-    keeps up to date; only targets in it get calls, as behind a platform load balancer.
+    ``n_connections`` limits the concurrent calls. A call waits while all connections
+    are busy, and its wait is part of its latency. ``name`` makes the keys of different
+    plans distinct. ``healthy``, when given, is a collection that another task updates;
+    only targets in it receive calls, as behind a platform load balancer.
     """
 
     targets: tuple[Address, ...]
@@ -74,9 +74,9 @@
 
 @dataclass(slots=True)
 class ClassResult:
-    """Figures of one class; latency in microseconds from the intended send time.
+    """Figures of one class; latencies in microseconds from the scheduled send time.
 
-    ``round_p99_ms`` holds the 99th percentile of each run that was added.
+    ``round_p99_ms`` holds the 99th percentile of each added run.
     """
 
     n_sent: int = 0
@@ -91,7 +91,7 @@
     round_p99_ms: list[float] = field(default_factory=list)
 
     def percentile_ms(self, percentile: float) -> float:
-        """Return the latency below which that percentage of whole answers lies."""
+        """Return a latency percentile of the complete responses."""
         return float(self.latency.get_value_at_percentile(percentile)) / 1000
 
     def add(self, other: ClassResult) -> None:
@@ -107,10 +107,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What the caller learned about one call.
+    """The outcome of one call as seen by the caller.
 
-    ``state`` is ``whole``, ``unknown`` when no whole answer came, or the run state of
-    the refusal. ``due`` is on the system clock, and ``latency_ms`` counts from it.
+    ``state`` is ``whole`` for a complete response, ``unknown`` for an incomplete or
+    missing one, or the run state of a refusal. ``due`` is the scheduled time on the
+    system clock, and ``latency_ms`` counts from it.
     """
 
     kind: CallKind
@@ -132,27 +133,27 @@
 
     @property
     def n_whole(self) -> int:
-        """Whole answers of all classes."""
-        return sum(one.n_whole for one in self.classes.values())
+        """The number of complete responses of all classes."""
+        return sum(result.n_whole for result in self.classes.values())
 
     def lines(self, prefix: str) -> Iterator[str]:
         """Yield the figures as ``name=value`` lines."""
-        for name, one in self.classes.items():
-            start = f"{prefix}.{name}"
-            yield f"{start}.sent={one.n_sent}"
-            yield f"{start}.whole={one.n_whole}"
+        for name, class_result in self.classes.items():
+            class_prefix = f"{prefix}.{name}"
+            yield f"{class_prefix}.sent={class_result.n_sent}"
+            yield f"{class_prefix}.whole={class_result.n_whole}"
             for percentile in (50, 99, 99.9):
-                value = one.percentile_ms(percentile)
-                yield f"{start}.p{percentile}_ms={value:.3f}"
-            for (error, state), n in sorted(one.refusals.items()):
-                yield f"{start}.refused.{error}.{state}={n}"
-            for reason, n in sorted((one.broken + one.wrong).items()):
-                yield f"{start}.{reason.replace(' ', '_')}={n}"
+                value = class_result.percentile_ms(percentile)
+                yield f"{class_prefix}.p{percentile}_ms={value:.3f}"
+            for (error, state), n in sorted(class_result.refusals.items()):
+                yield f"{class_prefix}.refused.{error}.{state}={n}"
+            for reason, n in sorted((class_result.broken + class_result.wrong).items()):
+                yield f"{class_prefix}.{reason.replace(' ', '_')}={n}"
 
 
 @dataclass(slots=True)
 class Call:
-    """One call that is due; ``due`` is on the system clock."""
+    """One scheduled call; ``due`` is on the system clock."""
 
     kind: CallKind
     due: float
@@ -161,21 +162,23 @@
 
 
 class Sender:
-    """Sends one call after the other, on one connection to each target."""
+    """Sends calls one at a time, over one connection per target."""
 
-    def __init__(self, plan: LoadPlan, result: LoadResult, n_first: int = 0) -> None:
+    def __init__(
+        self, plan: LoadPlan, result: LoadResult, first_target: int = 0
+    ) -> None:
         self._plan = plan
         self._result = result
-        self._next = n_first
+        self._target_index = first_target
         self._connections: dict[Address, CallerConnection] = {}
 
     async def open(self) -> None:
-        """Connect to the first target, so that no call pays for it.
+        """Connect to the first target, so that no latency includes the connect time.
 
-        Where this fails, the call that uses the connection reports it.
+        A failure is ignored here; the call that uses the connection reports it.
         """
         with suppress(OSError):
-            await self._connection(self._plan.targets[self._next]).open()
+            await self._connection(self._plan.targets[self._target_index]).open()
 
     async def close(self) -> None:
         """Close all connections."""
@@ -183,22 +186,22 @@
             await connection.close()
 
     async def send(self, call: Call, target: Address | None = None) -> None:
-        """Send one call, to the given target or the next one; record its outcome."""
+        """Send a call to the given or the next target, and record its outcome."""
         kind = call.kind
-        one = self._result.classes[kind.name]
-        target = target or self._pick()
+        class_result = self._result.classes[kind.name]
+        target = target or self._next_target()
         headers = {"X-Request-Id": call.request_id}
         if call.key:
             headers["Idempotency-Key"] = call.key
         request = encode_request(kind.method, kind.path, target[0], headers)
-        one.n_sent += 1
+        class_result.n_sent += 1
         state = "unknown"
         try:
             connection = self._connection(target)
-            answer = await connection.call(request, self._plan.timeout_ms)
-            state = _record_answer(call, answer, one)
-        except BrokenAnswer as error:
-            one.broken[str(error)] += 1
+            response = await connection.call(request, self._plan.timeout_ms)
+            state = _record_response(call, response, class_result)
+        except ResponseError as error:
+            class_result.broken[str(error)] += 1
         latency_ms = system_clock() - call.due
         self._result.outcomes.append(
             Outcome(
@@ -206,16 +209,16 @@
             )
         )
 
-    def _pick(self) -> Address:
-        """Return the only target of a fixed sender, else the next healthy one."""
+    def _next_target(self) -> Address:
+        """Return the next healthy target; without health data, always the same."""
         targets, healthy = self._plan.targets, self._plan.healthy
         if healthy is None:
-            return targets[self._next]
+            return targets[self._target_index]
         for _ in targets:
-            self._next = (self._next + 1) % len(targets)
-            if targets[self._next] in healthy:
+            self._target_index = (self._target_index + 1) % len(targets)
+            if targets[self._target_index] in healthy:
                 break
-        return targets[self._next]
+        return targets[self._target_index]
 
     def _connection(self, target: Address) -> CallerConnection:
         if target not in self._connections:
@@ -242,14 +245,14 @@
 
 
 async def run_load(plan: LoadPlan) -> LoadResult:
-    """Send the calls of the plan and return when all of them are answered."""
+    """Send the calls of the plan and return when all of them have an outcome."""
     result = _new_result(plan)
     calls: curio.Queue = curio.Queue()
     workers = []
     for n in range(plan.n_connections):
         sender = Sender(plan, result, n % len(plan.targets))
         await sender.open()
-        workers.append(await curio.spawn(_work, calls, sender))
+        workers.append(await curio.spawn(_send_calls, calls, sender))
     start = system_clock()
     try:
         for call in plan_calls(plan):
@@ -268,9 +271,9 @@
 
 
 async def run_at_most(plan: LoadPlan) -> LoadResult:
-    """Send the next call on each connection as soon as the last one is answered.
+    """Send closed-loop load: the next call on a connection follows the last response.
 
-    It measures the greatest throughput; its latencies hide queueing and are not
+    This measures the maximum throughput. The latencies exclude queueing and are not
     comparable with those of ``run_load``.
     """
     result = _new_result(plan)
@@ -297,25 +300,27 @@
         await curio.sleep(max(0, left_ms - SPIN_MS) / 1000)
 
 
-async def _work(calls: curio.Queue, sender: Sender) -> None:
+async def _send_calls(calls: curio.Queue, sender: Sender) -> None:
     while (call := await calls.get()) is not None:
         await sender.send(call)
     await sender.close()
 
 
-def _record_answer(call: Call, answer: Answer, one: ClassResult) -> str:
-    """Record an answer and return what it says about the call."""
-    if answer.status != 200:
-        refusal = answer.refusal()
-        one.refusals[refusal] += 1
+def _record_response(call: Call, response: Response, class_result: ClassResult) -> str:
+    """Record a response and return the resulting ``Outcome.state``."""
+    if response.status != 200:
+        refusal = response.refusal()
+        class_result.refusals[refusal] += 1
         return refusal[1]
-    problem = check_answer(answer.body, call.request_id, call.key)
+    problem = check_answer(response.body, call.request_id, call.key)
     if problem is not None:
-        one.wrong["not whole" if problem == "not whole" else "not its own"] += 1
+        class_result.wrong[
+            "not whole" if problem == "not whole" else "not its own"
+        ] += 1
         return "unknown"
-    one.n_whole += 1
+    class_result.n_whole += 1
     latency_us = round((system_clock() - call.due) * 1000)
-    one.latency.record_value(max(1, min(latency_us, MAX_LATENCY_US)))
+    class_result.latency.record_value(max(1, min(latency_us, MAX_LATENCY_US)))
     return "whole"
 
 
@@ -334,7 +339,7 @@
 
 
 def main() -> int:
-    """Run one plan from the flags; the status is 1 when an answer was wrong."""
+    """Run one plan; the exit status is 1 when a response was wrong."""
     settings = LoadSettings(_cli_parse_args=True)  # type: ignore[call-arg]
     targets = [target.rpartition(":") for target in settings.targets]
     plan = LoadPlan(
@@ -349,7 +354,7 @@
     result = curio.run(run_load, plan)
     for line in result.lines("load"):
         print(line)
-    return 1 if any(one.wrong for one in result.classes.values()) else 0
+    return 1 if any(c.wrong for c in result.classes.values()) else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/membership_cost.py
+++ b/benchmarks/membership_cost.py
@@ -1,8 +1,8 @@
 """Cost of the endpoint table: digest exchange, push and memory for each endpoint.
 
 Run ``python -m benchmarks.membership_cost``. It prints ``name=value`` lines for three
-table sizes. ``cpu_us`` is the time of both sides together. The baseline sends the
-whole table as JSON in each exchange.
+table sizes. ``cpu_us`` is the CPU time of both sides together. The baseline sends the
+complete table as JSON in each exchange.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
 N_SERVICES = 38
 N_ROUNDS = 20
 RENEWED_SHARE = 0.5
-"""Share of the counters that grow between two exchanges of a pair of entries."""
+"""Share of the heartbeat counters that grow between two exchanges of two entries."""
 
 NOW = Instant(0.0)
 
 
 def make_endpoints(n_endpoints: int) -> list[Endpoint]:
-    """Return endpoints spread over the services, with names of their own."""
+    """Return distinct endpoints spread over the services."""
     return [
         make_endpoint(
             service=f"service-{index % N_SERVICES:02d}",
@@ -63,13 +63,13 @@
 
 
 def renew(table: EndpointTable, endpoints: list[Endpoint], heartbeat: int) -> None:
-    """Let every second endpoint announce a higher counter to one table."""
+    """Merge a higher heartbeat counter for every second endpoint into a table."""
     for endpoint in endpoints[:: round(1 / RENEWED_SHARE)]:
         table.merge(replace(endpoint, heartbeat=heartbeat), NOW)
 
 
 def exchange(left: EndpointTable, right: EndpointTable) -> int:
-    """Run one digest exchange and return its bytes."""
+    """Run one digest exchange and return its size in bytes."""
     sent = left.digest()
     request = encode_request(sent)
     received = decode_request(request)
@@ -80,7 +80,7 @@
 
 
 def push(sender: list[Endpoint], receiver: EndpointTable) -> int:
-    """Push endpoints to one table and return the bytes."""
+    """Push endpoints to a table and return the size in bytes."""
     request = encode_request(Push(tuple(AgedEndpoint(e) for e in sender)))
     for entry in decode_request(request).entries:
         receiver.merge(entry.endpoint, NOW, entry.age_ms)
@@ -88,7 +88,7 @@
 
 
 def baseline_exchange(left: list[Endpoint], right: list[Endpoint]) -> int:
-    """Send one whole table as JSON and merge it; return the bytes."""
+    """Send a complete table as JSON and merge it; return the size in bytes."""
     request = json.dumps([asdict(endpoint) for endpoint in left]).encode()
     for value, known in zip(json.loads(request), right, strict=True):
         value["warm"] = WarmState(**value["warm"])
@@ -97,7 +97,7 @@
 
 
 def measure(run: Callable[[int], int]) -> tuple[float, float]:
-    """Return bytes and CPU microseconds of one round, as means."""
+    """Return the mean bytes and CPU microseconds per round."""
     gc.collect()
     n_bytes = 0
     start = time.process_time()
@@ -108,7 +108,7 @@
 
 
 def measure_exchange(endpoints: list[Endpoint]) -> tuple[float, float]:
-    """Measure exchanges alone, without the renewals between them."""
+    """Return bytes and CPU microseconds per exchange, without the renewals."""
     left, right = make_table(endpoints), make_table(endpoints)
     n_bytes, cpu_s = 0, 0.0
     for index in range(N_ROUNDS):
@@ -122,7 +122,7 @@
 
 
 def memory_bytes(endpoints: list[Endpoint]) -> int:
-    """Return the memory that a table takes, with its endpoints."""
+    """Return the memory used by a table and its endpoints."""
     payload = encode_request(Push(tuple(AgedEndpoint(e) for e in endpoints)))
     gc.collect()
     tracemalloc.start()
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -1,9 +1,9 @@
-"""Comparison of selection policies in a small discrete-event model.
+"""Comparison of selection policies in a small discrete-event simulation.
 
-Each entry sees only its own calls in flight, their latencies, and load reports as old
-as the answers that carried them. One endpoint is slow, one has a noisy neighbour, one
-fails fast for a part of the run, and one reports that it is idle. The model has no
-admission, ejection, retries or zone preference.
+Each entry knows only its own calls in flight, their latencies, and load reports that
+are as old as the responses that carried them. One endpoint is slow, one has a noisy
+neighbour, one fails fast for a part of the run, and one always reports that it is idle.
+The simulation has no admission, ejection, retries or zone preference.
 """
 
 from __future__ import annotations
@@ -45,10 +45,10 @@
 BURST_EVERY_MS, BURST_MS, BURST_FACTOR = 100.0, 5.0, 4.0
 SAME_ZONE_MS, OTHER_ZONE_MS = 0.1, 1.0
 SLOW, NOISY, FAILING, MISLEADING = 0, 1, 2, 3
-"""The endpoints with a fault."""
+"""Indexes of the endpoints with a fault."""
 
 
-# Each entry makes its own policy, since round robin keeps a position.
+# Each entry creates its own policy, since round robin is stateful.
 POLICIES: dict[str, Callable[[], Policy]] = {
     "random_choice": lambda: random_choice,
     "round_robin": round_robin,
@@ -68,7 +68,7 @@
 
 
 def draw_calls(seed: int) -> list[Call]:
-    """Return the calls of a seed, the same for all policies."""
+    """Return the calls of a seed; they are equal for all policies."""
     rng = random.Random(seed)
     capacity_per_s = N_ENDPOINTS * SLOTS / SERVICE_MS * 1000
     burst_share = BURST_MS / BURST_EVERY_MS
@@ -85,12 +85,12 @@
 
 
 def is_failing(endpoint: int, now: float) -> bool:
-    """Return whether the endpoint fails fast, as one does for a third of the run."""
+    """Return whether the endpoint fails fast; one does so in the middle third."""
     return endpoint == FAILING and DURATION_MS / 3 <= now < DURATION_MS * 2 / 3
 
 
-def slowness(endpoint: int, now: float) -> float:
-    """Return how many times as long the endpoint takes."""
+def slowdown_factor(endpoint: int, now: float) -> float:
+    """Return the factor by which the service time is longer now."""
     if endpoint == SLOW and now >= DURATION_MS / 5:
         return 4.0
     if endpoint == NOISY and now % 250 < 50:
@@ -106,9 +106,9 @@
 
 @dataclass(slots=True)
 class PolicyResult:
-    """Latency of the good answers in microseconds, and the share of good ones.
+    """Figures of one policy; ``latency`` is of successful responses in microseconds.
 
-    An answer is good when it is whole and arrives before the deadline.
+    ``n_good`` counts the successful responses that arrived before the deadline.
     """
 
     n_calls: int = 0
@@ -117,7 +117,7 @@
 
 
 class Model:
-    """Runs the calls of one seed under one policy."""
+    """Simulates the calls of one seed under one policy."""
 
     def __init__(self, make_policy: Callable[[], Policy], seed: int) -> None:
         self._policies = [make_policy() for _ in range(N_ENTRIES)]
@@ -132,58 +132,60 @@
         ]
         self._endpoints = [_Endpoint() for _ in range(N_ENDPOINTS)]
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self.result = PolicyResult()
 
     def run(self) -> PolicyResult:
-        """Run until every call is answered."""
+        """Run until every call has a response."""
         for call in self._calls:
-            self._at(call.at, lambda now, call=call: self._arrive(call, now))
+            self._schedule(call.at, lambda now, call=call: self._dispatch(call, now))
         while self._events:
             now, _, action = heapq.heappop(self._events)
             action(now)
         return self.result
 
-    def _at(self, when: float, action: Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (when, next(self._numbers), action))
+    def _schedule(self, when: float, action: Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (when, next(self._sequence), action))
 
-    def _arrive(self, call: Call, now: float) -> None:
+    def _dispatch(self, call: Call, now: float) -> None:
         view = self._views[call.entry]
         chosen = self._policies[call.entry](view, self._rng, Instant(now))
         chosen.n_in_flight += 1
         self.result.n_calls += 1
         n = int(chosen.key)
-        when = now + _distance_ms(call.entry, n)
-        self._at(when, lambda now: self._receive(call, n, now))
+        when = now + _network_delay_ms(call.entry, n)
+        self._schedule(when, lambda now: self._receive_request(call, n, now))
 
-    def _receive(self, call: Call, n: int, now: float) -> None:
+    def _receive_request(self, call: Call, n: int, now: float) -> None:
         endpoint = self._endpoints[n]
         if is_failing(n, now) or len(endpoint.queue) >= QUEUE_LIMIT:
-            self._answer(call, n, now, is_good=False)
+            self._send_response(call, n, now, is_good=False)
         elif endpoint.n_working < SLOTS:
-            self._work(call, n, now)
+            self._start_work(call, n, now)
         else:
             endpoint.queue.append(call)
 
-    def _work(self, call: Call, n: int, now: float) -> None:
+    def _start_work(self, call: Call, n: int, now: float) -> None:
         self._endpoints[n].n_working += 1
-        when = now + call.work_ms * slowness(n, now)
-        self._at(when, lambda now: self._end_work(call, n, now))
+        when = now + call.work_ms * slowdown_factor(n, now)
+        self._schedule(when, lambda now: self._finish_work(call, n, now))
 
-    def _end_work(self, call: Call, n: int, now: float) -> None:
+    def _finish_work(self, call: Call, n: int, now: float) -> None:
         endpoint = self._endpoints[n]
         endpoint.n_working -= 1
-        self._answer(call, n, now, is_good=True)
+        self._send_response(call, n, now, is_good=True)
         if endpoint.queue:
-            self._work(endpoint.queue.popleft(), n, now)
+            self._start_work(endpoint.queue.popleft(), n, now)
 
-    def _answer(self, call: Call, n: int, now: float, is_good: bool) -> None:
+    def _send_response(self, call: Call, n: int, now: float, is_good: bool) -> None:
         endpoint = self._endpoints[n]
         load = 0 if n == MISLEADING else endpoint.n_working + len(endpoint.queue)
-        when = now + _distance_ms(call.entry, n)
-        self._at(when, lambda at: self._see(call, n, at, now, load, is_good))
+        when = now + _network_delay_ms(call.entry, n)
+        self._schedule(
+            when, lambda at: self._receive_response(call, n, at, now, load, is_good)
+        )
 
-    def _see(
+    def _receive_response(
         self, call: Call, n: int, now: float, sent_at: float, load: int, is_good: bool
     ) -> None:
         candidate = self._views[call.entry][n]
@@ -200,13 +202,13 @@
             self.result.n_good += 1
 
 
-def _distance_ms(entry: int, endpoint: int) -> float:
+def _network_delay_ms(entry: int, endpoint: int) -> float:
     is_same_zone = entry % N_ZONES == endpoint % N_ZONES
     return SAME_ZONE_MS if is_same_zone else OTHER_ZONE_MS
 
 
 def compare_policies(seeds: list[int]) -> Iterator[str]:
-    """Yield the figures of each policy and seed beside those of random choice."""
+    """Yield the figures of each policy and seed, with random choice as baseline."""
     for seed in seeds:
         base: dict[str, float] = {}
         for name, make in POLICIES.items():
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,6 +1,6 @@
-"""Starts and ends the processes of benchmarks, the demo and tests.
+"""Starts and stops the processes of benchmarks, the demo and tests.
 
-The command lines of the daemons are in this module only.
+This is the only module that builds command lines of the daemons.
 """
 
 from __future__ import annotations
@@ -60,12 +60,12 @@
 
     @property
     def platform(self) -> str:
-        """The address for announcements."""
+        """The address that backend servers send announcements to."""
         return f"{self.host}:{self.platform_port}"
 
 
 def _peers(replicas: list[ControlReplica] | list[LedgerReplica]) -> str:
-    return ",".join(f"{one.replica_id}={one.host}:{one.peer_port}" for one in replicas)
+    return ",".join(f"{r.replica_id}={r.host}:{r.peer_port}" for r in replicas)
 
 
 def control_command(
@@ -126,8 +126,8 @@
 def operator_command(
     arguments: list[str], control: list[ControlReplica], token: str
 ) -> list[str]:
-    """Return the command line of an operator's command, such as ``zone out a``."""
-    addresses = ",".join(f"{one.host}:{one.operator_port}" for one in control)
+    """Return the command line of an operator command, such as ``zone out a``."""
+    addresses = ",".join(f"{r.host}:{r.operator_port}" for r in control)
     return [*PROGRAM, *arguments, f"--operator={addresses}", f"--token={token}"]
 
 
@@ -144,7 +144,7 @@
 
 
 def daemons_exist() -> bool:
-    """Return whether the ``pollenfold`` program of this checkout has the daemons."""
+    """Return whether the ``pollenfold`` program has the daemon commands."""
     return all(
         run_command([*PROGRAM, role, "--help"], 10)[0] == 0
         for role in ("control", "ledger", "entry")
@@ -152,10 +152,10 @@
 
 
 def free_ports(host: str, n_ports: int) -> list[int]:
-    """Return ports that the kernel gave out on the address and that are free now.
+    """Return free ports of the address, assigned by the kernel.
 
-    Give each process a loopback address of its own other than 127.0.0.1: outgoing
-    connections take their ports on 127.0.0.1 and can't collide with these.
+    Each process should have its own loopback address other than 127.0.0.1. Outgoing
+    connections use ports of 127.0.0.1, so they can't collide with these.
     """
     sockets = []
     try:
@@ -171,7 +171,7 @@
 
 @dataclass(slots=True)
 class Process:
-    """One process, addressed by its id; its output is in the file ``log``."""
+    """One process, signalled by its id; its output goes to the file ``log``."""
 
     name: str
     command: list[str]
@@ -180,35 +180,35 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process has not exited."""
         return self.popen.poll() is None
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process with SIGKILL and wait for its exit."""
         self._signal(signal.SIGKILL)
         self.popen.wait()
 
     def suspend(self) -> None:
-        """Stop the process until ``resume``."""
+        """Pause the process with SIGSTOP until ``resume``."""
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a suspended process go on."""
+        """Resume a suspended process with SIGCONT."""
         self._signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask the process to end as planned."""
+        """Request a graceful stop with SIGTERM."""
         self._signal(signal.SIGTERM)
 
     async def wait(self, timeout_s: float) -> int | None:
-        """Return the exit status, or None when it still runs after the time."""
+        """Return the exit status, or None if the process still runs at the timeout."""
         async with curio.ignore_after(timeout_s):
             while self.is_running:
                 await curio.sleep(0.02)
         return self.popen.poll()
 
     def log_tail(self, n_lines: int = 20) -> str:
-        """Return the last lines of its output."""
+        """Return the last lines of the output."""
         return "\n".join(self.log.read_text(errors="replace").splitlines()[-n_lines:])
 
     def _signal(self, number: signal.Signals) -> None:
@@ -218,7 +218,7 @@
 
 @dataclass(slots=True)
 class ProcessGroup:
-    """Processes with their logs in one folder; all are ended on exit.
+    """Processes with their logs in one folder; all are killed on exit.
 
     For example ``with ProcessGroup(folder) as group: group.start("b1", command)``.
     """
@@ -248,11 +248,11 @@
         return self.processes[name]
 
     def restart(self, name: str) -> Process:
-        """Start an ended process again with its command."""
+        """Start an exited process again with the same command."""
         return self.start(name, self.processes[name].command)
 
     def end_all(self) -> None:
-        """Kill the processes that still run, by their ids."""
+        """Kill the processes that still run."""
         for process in self.processes.values():
             process.kill()
 
@@ -263,16 +263,16 @@
 
 def run_command(command: list[str], timeout_s: float) -> tuple[int, str]:
     """Run a short command; return its exit status and output."""
-    done = subprocess.run(
+    completed = subprocess.run(
         command, cwd=ROOT, capture_output=True, text=True, timeout=timeout_s
     )
-    return done.returncode, done.stdout + done.stderr
+    return completed.returncode, completed.stdout + completed.stderr
 
 
 async def request(
     host: str, port: int, method: str, path: str, body: bytes = b""
 ) -> Response | None:
-    """Return the response of one request, or None when no whole one comes."""
+    """Return the response to one request, or None without a complete response."""
     headers = [(b"host", f"{host}:{port}".encode()), (b"connection", b"close")]
     try:
         async with curio.timeout_after(2):
@@ -291,7 +291,7 @@
 async def wait_until(
     check: Callable[[], Awaitable[bool]], timeout_s: float, expected: str
 ) -> None:
-    """Return when the check holds; raise TimeoutError after the time."""
+    """Poll until the check returns True; raise TimeoutError at the timeout."""
     try:
         async with curio.timeout_after(timeout_s):
             while not await check():
@@ -301,7 +301,7 @@
 
 
 async def wait_healthy(host: str, port: int, timeout_s: float = 10) -> None:
-    """Return when the health check of the address answers 200."""
+    """Wait until the health check of the address returns 200."""
 
     async def is_healthy() -> bool:
         response = await request(host, port, "GET", "/healthz")
@@ -311,7 +311,7 @@
 
 
 async def wait_listening(host: str, port: int, timeout_s: float = 10) -> None:
-    """Return when the address accepts connections."""
+    """Wait until the address accepts connections."""
 
     async def is_listening() -> bool:
         try:
--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -1,4 +1,4 @@
-"""What the demo checks after each step, and its table. Pure functions."""
+"""The checks of the demo after each step, and its table. Pure functions."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from .load import LoadResult, Outcome
 
-DAMAGE = ("malformed answer", "surplus bytes after the answer")
-"""Answers that no ended connection explains."""
+MALFORMED_RESPONSES = ("malformed answer", "surplus bytes after the answer")
+"""Reasons of ``ResponseError`` that a killed process can't cause."""
 
 
 @dataclass(slots=True)
 class Runs:
-    """Runs on all backend servers, by key and by request id."""
+    """Number of executions on all backend servers, by key and by request id."""
 
     by_key: Counter[str] = field(default_factory=Counter)
     by_request: Counter[str] = field(default_factory=Counter)
 
 
 def read_runs(run_logs: Iterable[Path]) -> Runs:
-    """Count the runs in the logs of the fake backend servers."""
+    """Count the executions in the run logs of the fake backend servers."""
     runs = Runs()
     for path in run_logs:
         if not path.exists():
@@ -39,9 +39,9 @@
 class StepResult:
     """One step of the demo.
 
-    ``may_break`` is set where an entry was killed, since its connections end with
-    it. ``n_late_work`` is the new work in a zone later than 3 s after it was taken
-    out, or None when no zone was out.
+    ``may_break`` permits aborted requests: it is set when an entry is killed, which
+    closes its connections. ``n_late_work`` counts the requests that reached a zone
+    later than 3 s after its evacuation; it is None in steps without an evacuation.
     """
 
     name: str
@@ -54,51 +54,55 @@
 
 
 def check_step(step: StepResult, runs: Runs) -> list[str]:
-    """Return every promise that the step broke, one sentence each."""
+    """Return one sentence for each promise that the step broke."""
     outcomes = [*step.load.outcomes, *step.resends]
     return [
-        *_check_runs(runs),
+        *_check_duplicate_executions(runs),
         *_check_refusals(outcomes, runs),
-        *_check_whole(outcomes, runs),
-        *_check_answers(step),
+        *_check_completed(outcomes, runs),
+        *_check_responses(step),
         *_check_zone(step),
     ]
 
 
-def _check_runs(runs: Runs) -> Iterator[str]:
+def _check_duplicate_executions(runs: Runs) -> Iterator[str]:
     for key, n_runs in runs.by_key.items():
         if n_runs > 1:
             yield f"key {key} ran {n_runs} times"
 
 
 def _check_refusals(outcomes: list[Outcome], runs: Runs) -> Iterator[str]:
-    last_of_key = {one.key: one for one in outcomes if one.key}
-    for one in outcomes:
-        if one.state == "did_not_run" and runs.by_request[one.request_id]:
-            yield f"request {one.request_id} was answered did_not_run and ran"
-    for key, one in last_of_key.items():
-        if one.state == "did_not_run" and runs.by_key[key]:
+    last_of_key = {outcome.key: outcome for outcome in outcomes if outcome.key}
+    for outcome in outcomes:
+        if outcome.state == "did_not_run" and runs.by_request[outcome.request_id]:
+            yield f"request {outcome.request_id} was answered did_not_run and ran"
+    for key, outcome in last_of_key.items():
+        if outcome.state == "did_not_run" and runs.by_key[key]:
             yield f"key {key} was answered did_not_run and ran"
 
 
-def _check_whole(outcomes: list[Outcome], runs: Runs) -> Iterator[str]:
-    for one in outcomes:
-        if one.state != "whole":
+def _check_completed(outcomes: list[Outcome], runs: Runs) -> Iterator[str]:
+    for outcome in outcomes:
+        if outcome.state != "whole":
             continue
-        n_runs = runs.by_key[one.key] if one.key else runs.by_request[one.request_id]
+        n_runs = (
+            runs.by_key[outcome.key]
+            if outcome.key
+            else runs.by_request[outcome.request_id]
+        )
         if n_runs == 0:
-            yield f"request {one.request_id} was answered and never ran"
-        elif one.kind.method == "POST" and not one.key and n_runs > 1:
-            yield f"request {one.request_id} without a key ran {n_runs} times"
+            yield f"request {outcome.request_id} was answered and never ran"
+        elif outcome.kind.method == "POST" and not outcome.key and n_runs > 1:
+            yield f"request {outcome.request_id} without a key ran {n_runs} times"
 
 
-def _check_answers(step: StepResult) -> Iterator[str]:
-    for name, one in step.load.classes.items():
-        for reason, n in one.wrong.items():
+def _check_responses(step: StepResult) -> Iterator[str]:
+    for name, class_result in step.load.classes.items():
+        for reason, n in class_result.wrong.items():
             yield f"{n} answers of class {name} were {reason}"
-        for reason, n in one.broken.items():
-            if reason in DAMAGE or not step.may_break:
-                yield f"{n} requests of class {name} were cut off: {reason}"
+        for reason, n in class_result.broken.items():
+            if reason in MALFORMED_RESPONSES or not step.may_break:
+                yield f"{n} requests of class {name} were aborted: {reason}"
 
 
 def _check_zone(step: StepResult) -> Iterator[str]:
@@ -107,27 +111,27 @@
 
 
 def format_table(steps: list[StepResult]) -> str:
-    """Return one row for each step."""
-    heads = ["step", "sent", "whole", "refused", "broken", "resent"]
-    heads += ["greatest_runs", "zone_work_after_3s", "promises"]
-    rows = [heads]
+    """Return the table with one row per step."""
+    headers = ["step", "sent", "whole", "refused", "broken", "resent"]
+    headers += ["greatest_runs", "zone_work_after_3s", "promises"]
+    rows = [headers]
     for step in steps:
         classes = step.load.classes.values()
-        late = "-" if step.n_late_work is None else str(step.n_late_work)
+        late_work = "-" if step.n_late_work is None else str(step.n_late_work)
         rows.append(
             [
                 step.name,
-                str(sum(one.n_sent for one in classes)),
-                str(sum(one.n_whole for one in classes)),
-                str(sum(one.refusals.total() for one in classes)),
-                str(sum(one.broken.total() for one in classes)),
+                str(sum(c.n_sent for c in classes)),
+                str(sum(c.n_whole for c in classes)),
+                str(sum(c.refusals.total() for c in classes)),
+                str(sum(c.broken.total() for c in classes)),
                 str(len(step.resends)),
                 str(step.greatest_runs),
-                late,
+                late_work,
                 "broken" if step.broken_promises else "kept",
             ]
         )
-    widths = [max(len(row[n]) for row in rows) for n in range(len(heads))]
+    widths = [max(len(row[n]) for row in rows) for n in range(len(headers))]
     return "\n".join(
         "  ".join(cell.ljust(width) for cell, width in zip(row, widths)).rstrip()
         for row in rows
@@ -135,13 +139,15 @@
 
 
 def refusal_lines(steps: list[StepResult]) -> Iterator[str]:
-    """Yield the refusals and broken connections of each step by reason."""
+    """Yield the refused and aborted requests of each step by reason."""
     for step in steps:
         reasons: Counter[str] = Counter()
-        for one in step.load.classes.values():
-            for (error, state), n in one.refusals.items():
+        for class_result in step.load.classes.values():
+            for (error, state), n in class_result.refusals.items():
                 reasons[f"{error}/{state}"] += n
-            reasons.update({f"cut off ({k})": n for k, n in one.broken.items()})
+            reasons.update(
+                {f"cut off ({k})": n for k, n in class_result.broken.items()}
+            )
         if reasons:
             listed = ", ".join(f"{reason} {n}" for reason, n in sorted(reasons.items()))
             yield f"{step.name}: {listed}"
--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -1,7 +1,7 @@
-"""Benchmarks: each figure beside its baseline from the same run.
+"""Runs the benchmarks and prints each figure with its baseline from the same run.
 
-Called by ``scripts/bench``. The baseline of the forwarder and of the entry is the
-same load sent directly to the backend server.
+Called by ``scripts/bench``. The baseline of the forwarder and of the entry is the same
+load sent directly to the backend server.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class BenchSettings(BaseSettings):
-    """Flags of the benchmarks; each phase is sent once to each path per round."""
+    """Flags of the benchmarks; each round sends one phase of load to each path."""
 
     model_config = SettingsConfigDict(cli_kebab_case=True)
 
@@ -48,10 +48,10 @@
 
 
 async def start_entry(group: ProcessGroup) -> dict[str, Address]:
-    """Start a whole system with one entry and one backend server.
+    """Start a complete system with one entry and one backend server.
 
-    Return the direct path and the entry's. The first round of calls warms the
-    backend server up.
+    Return the addresses of the direct path and of the path through the entry. The first
+    round of calls warms the backend server up.
     """
     topology = Topology(
         n_entries=1,
@@ -67,8 +67,8 @@
     return {"direct": (backend.host, backend.port), "entry": cluster.targets[0]}
 
 
-async def start_direct(group: ProcessGroup) -> Address:
-    """Start a backend server that answers at once, so that it hides no cost."""
+async def start_direct_backend(group: ProcessGroup) -> Address:
+    """Start a backend server without service time, which would hide overhead."""
     host = "127.0.1.1"
     port = free_ports(host, 1)[0]
     command = backend_command(
@@ -85,7 +85,7 @@
 
 
 async def start_forwarder(group: ProcessGroup, backend: Address) -> Address:
-    """Start the baseline forwarder before the backend server."""
+    """Start the baseline forwarder in front of the backend server."""
     host = "127.0.1.2"
     port = free_ports(host, 1)[0]
     target = f"{backend[0]}:{backend[1]}"
@@ -102,8 +102,8 @@
 ) -> dict[str, dict[str, ClassResult]]:
     """Send the same calls to each path in turn, in rounds.
 
-    Short alternating rounds spread the drift of a shared machine over all paths. The
-    first round only fills the connection pools and is left out.
+    Short alternating rounds spread the load drift of a shared machine over all paths.
+    The first round only fills the connection pools and is not counted.
     """
     results: dict[str, dict[str, ClassResult]] = {name: {} for name in paths}
     for n_round in range(n_rounds + 1):
@@ -119,15 +119,15 @@
             result = await run_load(plan)
             if n_round == 0:
                 continue
-            for kind, one in result.classes.items():
-                results[name].setdefault(kind, ClassResult()).add(one)
+            for kind, class_result in result.classes.items():
+                results[name].setdefault(kind, ClassResult()).add(class_result)
     return results
 
 
-async def measure_at_most(
+async def measure_throughput(
     paths: dict[str, Address], settings: BenchSettings
 ) -> dict[str, LoadResult]:
-    """Send as many calls as each path answers."""
+    """Measure the maximum throughput of each path."""
     results = {}
     for name, address in paths.items():
         plan = LoadPlan(
@@ -145,31 +145,34 @@
 def latency_lines(
     results: dict[str, dict[str, ClassResult]], suffix: str = ""
 ) -> Iterator[str]:
-    """Yield the latency of each path beside that of the direct one."""
+    """Yield the latency of each path with the direct path as baseline."""
     direct = results["direct"]
     for name, classes in results.items():
-        for kind, one in classes.items():
+        for kind, class_result in classes.items():
             for percentile in PERCENTILES:
-                value = one.percentile_ms(percentile)
+                value = class_result.percentile_ms(percentile)
                 base = direct[kind].percentile_ms(percentile)
                 yield (
                     f"{name}{suffix}.{kind}.p{percentile:g}_ms={value:.3f} "
                     f"baseline_direct={base:.3f} added={value - base:.3f}"
                 )
-            # One stall of a shared machine decides the 99th percentile of the whole
-            # run, but not the median over the rounds.
-            value = median(one.round_p99_ms)
+            # A single stall of a shared machine dominates the 99th percentile of the
+            # complete run, but not the median over the rounds.
+            value = median(class_result.round_p99_ms)
             base = median(direct[kind].round_p99_ms)
             yield (
                 f"{name}{suffix}.{kind}.median_round_p99_ms={value:.3f} "
                 f"baseline_direct={base:.3f} added={value - base:.3f}"
             )
-            n_not_whole = one.n_sent - one.n_whole
-            yield f"{name}{suffix}.{kind}.sent={one.n_sent} not_whole={n_not_whole}"
+            n_incomplete = class_result.n_sent - class_result.n_whole
+            yield (
+                f"{name}{suffix}.{kind}.sent={class_result.n_sent} "
+                f"not_whole={n_incomplete}"
+            )
 
 
-def at_most_lines(results: dict[str, LoadResult]) -> Iterator[str]:
-    """Yield the greatest throughput of each path beside that of the direct one."""
+def throughput_lines(results: dict[str, LoadResult]) -> Iterator[str]:
+    """Yield the throughput of each path with the direct path as baseline."""
     base = results["direct"].n_whole / results["direct"].duration_ms * 1000
     for name, result in results.items():
         value = result.n_whole / result.duration_ms * 1000
@@ -177,27 +180,27 @@
 
 
 async def run_benchmarks(settings: BenchSettings, folder: Path) -> bool:
-    """Print all figures; return whether every answer was whole."""
+    """Print all figures; return whether every response was complete."""
     with ProcessGroup(folder) as group:
         if daemons_exist():
             paths = await start_entry(group)
         else:
             print("entry=not_run", flush=True)
-            paths = {"direct": await start_direct(group)}
+            paths = {"direct": await start_direct_backend(group)}
         paths["forwarder"] = await start_forwarder(group, paths["direct"])
         latency = await measure_latency(paths, settings, settings.n_rounds)
         for line in latency_lines(latency):
             print(line, flush=True)
-        burst = await measure_latency(paths, settings, 5, is_bursty=True)
-        for line in latency_lines(burst, "_burst"):
+        burst_latency = await measure_latency(paths, settings, 5, is_bursty=True)
+        for line in latency_lines(burst_latency, "_burst"):
             print(line, flush=True)
-        at_most = await measure_at_most(paths, settings)
-        for line in at_most_lines(at_most):
+        throughput = await measure_throughput(paths, settings)
+        for line in throughput_lines(throughput):
             print(line, flush=True)
     return all(
-        one.n_sent == one.n_whole
-        for classes in (*latency.values(), *burst.values())
-        for one in classes.values()
+        class_result.n_sent == class_result.n_whole
+        for classes in (*latency.values(), *burst_latency.values())
+        for class_result in classes.values()
     )
 
 
@@ -206,11 +209,11 @@
     settings = BenchSettings(_cli_parse_args=True)  # type: ignore[call-arg]
     print(f"seed={settings.seed}", flush=True)
     with tempfile.TemporaryDirectory() as folder:
-        all_whole = curio.run(run_benchmarks, settings, Path(folder))
+        all_complete = curio.run(run_benchmarks, settings, Path(folder))
         curio.run(run_scenarios, Path(folder), settings.seed)
     for line in compare_policies([settings.seed, settings.seed + 1, settings.seed + 2]):
         print(line, flush=True)
-    return 0 if all_whole else 1
+    return 0 if all_complete else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -1,7 +1,7 @@
-"""Zone moves, faults, bursts and idle cost on whole systems of real processes.
+"""Zone evacuations, faults, bursts and idle cost on complete systems of processes.
 
-Each figure stands on one ``name=value`` line with its baseline or limit from the same
-run. ``python -m benchmarks.scenarios --seed 1`` runs these scenarios alone.
+Each figure is printed on one ``name=value`` line with its baseline or limit from the
+same run. ``python -m benchmarks.scenarios --seed 1`` runs only these scenarios.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 from .windows import Window, hurt_line, window, window_lines
 
 LOAD_SHARE = 0.6
-"""Offered load as a share of what all slots of the service bear."""
+"""Offered load as a share of the capacity of all slots of the service."""
 
 ZONE = "b"
 ZONE_LIMIT_S = 3.0
-"""Stated limit: after it a zone that was taken out gets no new work."""
+"""Documented limit after which an evacuated zone receives no new requests."""
 
 MOVE_S = 10.0
 PHASE_S = 6.0
@@ -40,7 +40,7 @@
 
 CPU_LIMIT_PERCENT = 2.2
 BYTES_LIMIT_PER_S = 21_000
-"""Stated limits of the control overhead for each node."""
+"""Documented limits of the control overhead per node."""
 
 Fault = dict[str, Any]
 Action = Callable[[], Awaitable[None]]
@@ -54,8 +54,8 @@
 
 
 @dataclass(slots=True)
-class Scene:
-    """A running system and the load on its one service."""
+class ScenarioSystem:
+    """A running system with a single service, and the load on it."""
 
     cluster: Cluster
     checks: HealthChecks
@@ -64,14 +64,14 @@
 
     @property
     def rate_per_s(self) -> float:
-        """The rate that fills ``LOAD_SHARE`` of the slots."""
+        """The rate that occupies ``LOAD_SHARE`` of the slots."""
         topology = self.cluster.topology
         n_slots = topology.n_backends_per_service * topology.slots
         return LOAD_SHARE * n_slots / topology.service_ms * 1000
 
     @property
     def service(self) -> str:
-        """The name of the one service."""
+        """The name of the service."""
         return self.cluster.topology.services[0]
 
     async def load(self, duration_s: float, is_bursty: bool = False) -> LoadResult:
@@ -95,46 +95,46 @@
         return await run_load(plan)
 
 
-async def order(backend: BackendAddress, **fields: Any) -> None:
-    """Give a fake backend server a fault table or actions."""
+async def configure_backend(backend: BackendAddress, **fields: Any) -> None:
+    """Send a fault table or actions to a fake backend server."""
     body = json.dumps(fields).encode()
     response = await request(
         backend.host, backend.port, "POST", "/stand-in/faults", body
     )
     if response is None or response.status != 200:
-        raise RuntimeError(f"expected {backend.name} to take the order {fields}")
+        raise RuntimeError(f"{backend.name} did not accept the fault settings {fields}")
 
 
 def warm_endpoints(cluster: Cluster) -> set[str]:
-    """Return the endpoints whose last logged change on any entry was to warm."""
+    """Return the endpoints whose latest change logged by any entry was to warm."""
     lines = []
     for entry in cluster.entries:
         log = cluster.group.processes[entry.entry_id].log.read_text()
         lines += [line for line in log.splitlines() if "event=warm_state" in line]
     # Each line starts with its time, so sorting orders the lines of all entries.
-    last = {}
+    is_warm_by_endpoint = {}
     for line in sorted(lines):
         fields = dict(part.partition("=")[::2] for part in line.split())
-        last[fields["endpoint"]] = fields["is_warm"] == "True"
-    return {name for name, is_warm in last.items() if is_warm}
+        is_warm_by_endpoint[fields["endpoint"]] = fields["is_warm"] == "True"
+    return {name for name, is_warm in is_warm_by_endpoint.items() if is_warm}
 
 
-async def warm_up(scene: Scene) -> None:
-    """Send load until the entries hold every server for warm, then two seconds more.
+async def warm_up(system: ScenarioSystem) -> None:
+    """Send load until every server is warm for the entries, then for two more seconds.
 
-    The entries end their ramps later than a fake server turns warm.
+    The entries complete their warm-up ramps later than a fake server turns warm.
     """
 
     async def is_warm() -> bool:
-        await scene.load(1)
-        return len(warm_endpoints(scene.cluster)) == len(scene.cluster.backends)
+        await system.load(1)
+        return len(warm_endpoints(system.cluster)) == len(system.cluster.backends)
 
     await wait_until(is_warm, 30, "warm backend servers")
-    await scene.load(2)
+    await system.load(2)
 
 
-async def totals(cluster: Cluster) -> Counter[str]:
-    """Return the sums of the counters of all servers."""
+async def total_counts(cluster: Cluster) -> Counter[str]:
+    """Return the counters summed over all backend servers."""
     sums: Counter[str] = Counter()
     for backend in cluster.backends:
         counts = await cluster.counts(backend)
@@ -143,22 +143,22 @@
     return sums
 
 
-async def steady_phase(scene: Scene) -> tuple[Window, list[str]]:
-    """Measure the steady latencies and the cost of probes in the same span."""
-    before, start = await totals(scene.cluster), system_clock()
-    result = await scene.load(PHASE_S)
-    spent = await totals(scene.cluster)
-    spent.subtract(before)
+async def measure_steady_phase(system: ScenarioSystem) -> tuple[Window, list[str]]:
+    """Measure the steady latencies and the probe cost over the same time."""
+    before, start = await total_counts(system.cluster), system_clock()
+    result = await system.load(PHASE_S)
+    used = await total_counts(system.cluster)
+    used.subtract(before)
     elapsed_s = (system_clock() - start) / 1000
-    topology = scene.cluster.topology
-    spec = service_record(scene.service, 1, topology.slots)["spec"]
+    topology = system.cluster.topology
+    spec = service_record(system.service, 1, topology.slots)["spec"]
     steady = window(result.outcomes)
     limit_bytes = spec["probe_bytes_per_s"]
-    n_bytes = spent["n_probe_bytes"] + spent["n_report_bytes"]
+    n_bytes = used["n_probe_bytes"] + used["n_report_bytes"]
     lines = [
-        f"probes.per_s={spent['n_probes'] / elapsed_s:.2f} "
+        f"probes.per_s={used['n_probes'] / elapsed_s:.2f} "
         f"limit={spec['probes_per_s']} elapsed_s={elapsed_s:.1f}",
-        f"probes.bytes_per_s={spent['n_probe_bytes'] / elapsed_s:.0f} "
+        f"probes.bytes_per_s={used['n_probe_bytes'] / elapsed_s:.0f} "
         f"limit={limit_bytes} without=first_lines",
         f"probes_and_reports.bytes_per_s={n_bytes / elapsed_s:.0f} "
         f"limit={limit_bytes} responses_per_s={steady.n_sent / elapsed_s:.0f}",
@@ -166,11 +166,11 @@
     return steady, lines
 
 
-async def zone_leaves(scene: Scene, steady: Window) -> list[str]:
-    """Take the zone out under load; its servers turn cold once it is idle."""
-    cluster = scene.cluster
+async def measure_zone_removal(system: ScenarioSystem, steady: Window) -> list[str]:
+    """Evacuate the zone under load; its idle servers then turn cold."""
+    cluster = system.cluster
     start = system_clock()
-    load = await curio.spawn(scene.load, MOVE_S)
+    load = await curio.spawn(system.load, MOVE_S)
     command = await curio.spawn(cluster.operate, "zone", "out", ZONE)
     await curio.sleep(ZONE_LIMIT_S)
     n_before = await cluster.received_in_zone(ZONE)
@@ -179,12 +179,12 @@
     await command.join()
     for backend in cluster.backends:
         if backend.zone == ZONE:
-            await order(backend, actions=["turn_cold"])
-    middle = start + ZONE_LIMIT_S * 1000
-    n_left = sum(one.zone != ZONE for one in cluster.backends)
+            await configure_backend(backend, actions=["turn_cold"])
+    limit_at = start + ZONE_LIMIT_S * 1000
+    n_left = sum(b.zone != ZONE for b in cluster.backends)
     share_left = LOAD_SHARE * len(cluster.backends) / n_left
-    early = window(result.outcomes, to_ms=middle)
-    late = window(result.outcomes, from_ms=middle)
+    early = window(result.outcomes, to_ms=limit_at)
+    late = window(result.outcomes, from_ms=limit_at)
     return [
         f"zone_out.share_of_slots_left={share_left:.2f} steady={LOAD_SHARE}",
         *window_lines("zone_out.first_3_s", early, steady),
@@ -194,26 +194,26 @@
     ]
 
 
-async def zone_returns(scene: Scene, steady: Window) -> list[str]:
-    """Bring the zone back under load; its servers are cold."""
-    cluster = scene.cluster
-    cold = [one for one in cluster.backends if one.zone == ZONE]
-    n_before = [(await cluster.counts(one))["n_overload_violations"] for one in cold]
+async def measure_zone_return(system: ScenarioSystem, steady: Window) -> list[str]:
+    """Return the zone to service under load; its servers are cold."""
+    cluster = system.cluster
+    cold = [b for b in cluster.backends if b.zone == ZONE]
+    n_before = [(await cluster.counts(b))["n_overload_violations"] for b in cold]
     n_received = await cluster.received_in_zone(ZONE)
-    load = await curio.spawn(scene.load, MOVE_S)
+    load = await curio.spawn(system.load, MOVE_S)
     await cluster.operate("zone", "in", ZONE)
     result = await load.join()
     n_received = await cluster.received_in_zone(ZONE) - n_received
     zone_share = n_received / len(result.outcomes)
-    counts = [await cluster.counts(one) for one in cold]
-    greatest = max(one["greatest_in_flight_cold"] for one in counts)
-    n_over = sum(one["n_overload_violations"] for one in counts) - sum(n_before)
-    n_cold = sum(one["cold"] for one in counts)
-    whole = window(result.outcomes)
+    counts = [await cluster.counts(b) for b in cold]
+    max_in_flight = max(c["greatest_in_flight_cold"] for c in counts)
+    n_over = sum(c["n_overload_violations"] for c in counts) - sum(n_before)
+    n_cold = sum(c["cold"] for c in counts)
+    after_return = window(result.outcomes)
     return [
-        *window_lines("zone_in", whole, steady),
-        hurt_line("zone_in", whole, steady),
-        f"zone_in.greatest_work_at_cold_server={greatest} limit_cold_slots=1",
+        *window_lines("zone_in", after_return, steady),
+        hurt_line("zone_in", after_return, steady),
+        f"zone_in.greatest_work_at_cold_server={max_in_flight} limit_cold_slots=1",
         f"zone_in.requests_over_cold_slots={n_over} limit=0",
         f"zone_in.received_share={zone_share:.4f} "
         f"fair_share={len(cold) / len(cluster.backends):.4f}",
@@ -221,9 +221,9 @@
     ]
 
 
-async def idle_lines(cluster: Cluster) -> list[str]:
-    """Measure the cost of the control and ledger processes without load."""
-    names = [one.replica_id for one in (*cluster.control, *cluster.ledger)]
+async def measure_idle_cost(cluster: Cluster) -> list[str]:
+    """Measure the idle cost of the control and ledger processes."""
+    names = [replica.replica_id for replica in (*cluster.control, *cluster.ledger)]
     ids = {name: cluster.group.processes[name].popen.pid for name in names}
     before, start = {n: processor_s(pid) for n, pid in ids.items()}, system_clock()
     bytes_before = stream_bytes_by_process()
@@ -241,123 +241,125 @@
     return lines
 
 
-async def fault_phase(
-    scene: Scene,
+async def run_fault_phase(
+    system: ScenarioSystem,
     name: str,
     base: LoadResult | None,
     action: Action | None = None,
     is_bursty: bool = False,
 ) -> LoadResult:
-    """Run a phase, print its figures beside those of the phase without fault."""
-    load = await curio.spawn(scene.load, PHASE_S, is_bursty)
+    """Run a phase and print its figures with the phase without fault as baseline."""
+    load = await curio.spawn(system.load, PHASE_S, is_bursty)
     if action is not None:
         await action()
     result: LoadResult = await load.join()
     base = base or result
-    for kind, one in result.classes.items():
+    for kind, class_result in result.classes.items():
         for percentile in (99, 99.9):
-            value = one.percentile_ms(percentile)
+            value = class_result.percentile_ms(percentile)
             steady = base.classes[kind].percentile_ms(percentile)
             print(
                 f"{name}.{kind}.p{percentile}_ms={value:.1f} no_fault={steady:.1f} "
                 f"ratio={value / steady:.2f}"
             )
         reasons = "".join(
-            f" {error}={n}" for (error, _), n in sorted(one.refusals.items())
+            f" {error}={n}" for (error, _), n in sorted(class_result.refusals.items())
         )
         print(
-            f"{name}.{kind}.refused={one.refusals.total()} "
+            f"{name}.{kind}.refused={class_result.refusals.total()} "
             f"no_fault={base.classes[kind].refusals.total()} "
-            f"broken={one.broken.total()} wrong={one.wrong.total()} "
-            f"sent={one.n_sent}{reasons}"
+            f"broken={class_result.broken.total()} wrong={class_result.wrong.total()} "
+            f"sent={class_result.n_sent}{reasons}"
         )
     goodput, steady = (
-        one.n_whole / sum(c.n_sent for c in one.classes.values())
-        for one in (result, base)
+        load_result.n_whole / sum(c.n_sent for c in load_result.classes.values())
+        for load_result in (result, base)
     )
     print(f"{name}.goodput_share={goodput:.4f} no_fault={steady:.4f}", flush=True)
     return result
 
 
-async def fail_fast_phase(scene: Scene, base: LoadResult) -> None:
-    """Let one server fail fast; print the share of requests that it received."""
-    cluster, failing = scene.cluster, scene.cluster.backends[2]
-    await order(failing, faults=[{"kind": "fail_fast"}])
-    all_before = (await totals(cluster))["n_received"]
+async def run_fail_fast_phase(system: ScenarioSystem, base: LoadResult) -> None:
+    """Make one server fail fast; print the share of requests that it received."""
+    cluster, failing = system.cluster, system.cluster.backends[2]
+    await configure_backend(failing, faults=[{"kind": "fail_fast"}])
+    all_before = (await total_counts(cluster))["n_received"]
     before = (await cluster.counts(failing))["n_received"]
-    await fault_phase(scene, "fail_fast", base)
+    await run_fault_phase(system, "fail_fast", base)
     n_received = (await cluster.counts(failing))["n_received"] - before
-    n_all = (await totals(cluster))["n_received"] - all_before
+    n_all = (await total_counts(cluster))["n_received"] - all_before
     print(
         f"fail_fast.received_share={n_received / n_all:.4f} "
         f"fair_share={1 / len(cluster.backends):.4f}",
         flush=True,
     )
-    await order(failing, faults=[])
+    await configure_backend(failing, faults=[])
 
 
-async def run_faults(scene: Scene) -> None:
-    """Run the phases with faults, each after a phase that lets it settle."""
-    cluster = scene.cluster
-    base = await fault_phase(scene, "no_fault", None)
-    await fault_phase(scene, "burst", base, is_bursty=True)
+async def run_faults(system: ScenarioSystem) -> None:
+    """Run the fault phases, with a recovery phase after each persistent fault."""
+    cluster = system.cluster
+    base = await run_fault_phase(system, "no_fault", None)
+    await run_fault_phase(system, "burst", base, is_bursty=True)
     slow, noisy = cluster.backends[:2]
-    await order(slow, faults=[{"kind": "slow", "factor": 5}])
-    await order(noisy, faults=[{"kind": "slow", "factor": 10, "share": 0.1}])
-    await fault_phase(scene, "slow_and_noisy", base)
+    await configure_backend(slow, faults=[{"kind": "slow", "factor": 5}])
+    await configure_backend(
+        noisy, faults=[{"kind": "slow", "factor": 10, "share": 0.1}]
+    )
+    await run_fault_phase(system, "slow_and_noisy", base)
     for backend in (slow, noisy):
-        await order(backend, faults=[])
-    await scene.load(2)
-    await fail_fast_phase(scene, base)
-    await scene.load(2)
+        await configure_backend(backend, faults=[])
+    await system.load(2)
+    await run_fail_fast_phase(system, base)
+    await system.load(2)
 
     async def kill() -> None:
         await curio.sleep(ENTRY_KILLED_AFTER_S)
         cluster.group.processes[cluster.entries[0].entry_id].kill()
 
-    await fault_phase(scene, "killed_entry", base, kill)
+    await run_fault_phase(system, "killed_entry", base, kill)
 
 
-async def run_zone_move(scene: Scene) -> None:
-    """Print the figures of a zone that leaves and returns, and of idle processes."""
-    steady, lines = await steady_phase(scene)
+async def run_zone_move(system: ScenarioSystem) -> None:
+    """Print the figures of a zone evacuation and return, and of idle processes."""
+    steady, lines = await measure_steady_phase(system)
     lines += window_lines("zone_steady", steady, steady)
-    lines += await idle_lines(scene.cluster)
-    await scene.load(1)
-    lines += await zone_leaves(scene, steady)
-    lines += await zone_returns(scene, steady)
+    lines += await measure_idle_cost(system.cluster)
+    await system.load(1)
+    lines += await measure_zone_removal(system, steady)
+    lines += await measure_zone_return(system, steady)
     print("\n".join(lines), flush=True)
 
 
-async def run_scene(
+async def run_scenario(
     topology: Topology,
     folder: Path,
     seed: int,
-    scenario: Callable[[Scene], Awaitable[None]],
+    scenario: Callable[[ScenarioSystem], Awaitable[None]],
 ) -> None:
-    """Start a system, warm its servers up, and run a scenario on it."""
+    """Start a system, warm up its servers, and run a scenario on it."""
     with ProcessGroup(folder) as group:
         cluster = Cluster(group, topology)
         await cluster.start()
         await cluster.wait_for_work()
         async with HealthChecks(cluster.entries) as checks:
-            scene = Scene(cluster, checks, seed)
+            system = ScenarioSystem(cluster, checks, seed)
             print(
-                f"{scene.service}.rate_per_s={scene.rate_per_s:.0f} "
+                f"{system.service}.rate_per_s={system.rate_per_s:.0f} "
                 f"entries={topology.n_entries} "
                 f"endpoints={topology.n_backends_per_service} "
                 f"slots={topology.slots} service_ms={topology.service_ms} "
                 f"share_of_slots={LOAD_SHARE}",
                 flush=True,
             )
-            await warm_up(scene)
-            await scenario(scene)
+            await warm_up(system)
+            await scenario(system)
 
 
 async def run_scenarios(folder: Path, seed: int) -> None:
-    """Run the zone move, then the faults, each on its own system."""
-    await run_scene(BOOKING, folder / "zone", seed, run_zone_move)
-    await run_scene(PEARL_MARKET, folder / "faults", seed, run_faults)
+    """Run the zone evacuation, then the faults, each on its own system."""
+    await run_scenario(BOOKING, folder / "zone", seed, run_zone_move)
+    await run_scenario(PEARL_MARKET, folder / "faults", seed, run_faults)
 
 
 class ScenarioSettings(BaseSettings):
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,12 +1,12 @@
-"""A soak of the real programs under faults from outside, by seed.
+"""Soak test of the real programs under external faults, drawn by a seed.
 
     python -m benchmarks.soak --seeds 1-50 --jobs 3
 
 Entries and control replicas run as separate processes on loopback addresses. Phases
-of faults (signals, lost disks, a proxy that delays, resets or silences the links to
-backend servers) alternate with calm ones. The promises are checked while it runs from
-what callers, backend servers and the operator see. Only processes that were started
-here are ended, by their id.
+with faults (signals, lost disks, a proxy that delays, resets or blocks the links to
+backend servers) alternate with calm phases. The promises are checked during the run
+from the observations of callers, backend servers and the operator. Only processes that
+this program started are signalled, by their ids.
 """
 
 from __future__ import annotations
@@ -36,8 +36,8 @@
 DRAIN_LIMIT_S = 2.0
 ZONE_LIMIT_S = 5.0
 RECOVERY_LIMIT_S = 15.0
-CALM_BEFORE_ORDERS_S = 3.2
-"""A process counts again so long after the last fault."""
+CALM_BEFORE_COMMANDS_S = 3.2
+"""Time after the last fault until processes are expected to be available again."""
 
 REFUSALS = (408, 421, 429, 503)
 ZONES = ("a", "b", "c")
@@ -75,7 +75,7 @@
 
 @dataclass
 class Program:
-    """One process of the system, with what it needs to be started again."""
+    """One process of the system, with all that is needed to restart it."""
 
     name: str
     role: str
@@ -84,12 +84,12 @@
     folder: Path
     process: subprocess.Popen[bytes] | None = None
     n_log_bytes: int = 0
-    """How long the log was when the process was started."""
+    """Size of the log when the process was started."""
 
     def start(self, seeds: list[str], is_first: bool) -> None:
         if self.process is not None and self.process.poll() is None:
-            # Another fault has started it already. A second process would take the
-            # place of this one here, and nobody would end the first.
+            # Another fault has already restarted it. Starting a second process would
+            # drop the reference to this one, which would never be killed.
             return
         settings = self.folder / "settings.toml"
         data = self.folder / "data"
@@ -119,7 +119,7 @@
             )
 
     def has_started(self) -> bool:
-        """Return whether the process wrote that it is up; its handlers are set then."""
+        """Return whether the process logged its start; then its handlers are set."""
         with (self.folder / "log").open("rb") as log:
             log.seek(self.n_log_bytes)
             return b"event=started " in log.read()
@@ -137,7 +137,7 @@
 
 @dataclass
 class Soak:
-    """One run: the programs, the fakes and what was seen."""
+    """One run: the programs, the fake backend servers and the observations."""
 
     seed: int
     folder: Path
@@ -146,7 +146,7 @@
     violations: list[str] = field(default_factory=list)
     refused: set[str] = field(default_factory=set)
     n_served: int = 0
-    n_asked: int = 0
+    n_sent: int = 0
     version: int = 0
     acknowledged: int = 0
     last_fault_at: float = 0.0
@@ -155,33 +155,34 @@
 
     def __post_init__(self) -> None:
         self.rng.seed(self.seed)
-        net = f"127.{10 + self.seed % 200}"
-        self.controls = [self._program("control", net, 1, k) for k in range(3)]
-        self.entries = [self._program("entry", net, 2, k) for k in range(3)]
+        network = f"127.{10 + self.seed % 200}"
+        self.controls = [self._program("control", network, 1, k) for k in range(3)]
+        self.entries = [self._program("entry", network, 2, k) for k in range(3)]
         self.seeds = [program.host for program in self.controls]
         self.backends = [
-            SoakBackend(f"i-{k}", f"{net}.3.{k + 1}", ZONES[k % 3]) for k in range(6)
+            SoakBackend(f"i-{k}", f"{network}.3.{k + 1}", ZONES[k % 3])
+            for k in range(6)
         ]
 
-    def _program(self, role: str, net: str, part: int, number: int) -> Program:
+    def _program(self, role: str, network: str, subnet: int, number: int) -> Program:
         name = f"{role}-{number}"
         folder = self.folder / name
         folder.mkdir(parents=True)
-        host = f"{net}.{part}.{number + 1}"
+        host = f"{network}.{subnet}.{number + 1}"
         return Program(name, role, host, ZONES[number], folder)
 
-    def broken(self, text: str) -> None:
+    def add_violation(self, text: str) -> None:
         self.violations.append(f"seed {self.seed} {text}")
 
     # Calls
 
-    async def control_call(
+    async def send_control_request(
         self, method: bytes, path: str, document: object = None, wait_s: float = 8.0
     ) -> Response | None:
-        """Send an order until it gets a clear answer; None when it got none."""
+        """Repeat a control request until its outcome is clear; None at the timeout."""
         body = b"" if document is None else json.dumps(document).encode()
-        until = time.monotonic() + wait_s
-        while time.monotonic() < until:
+        deadline = time.monotonic() + wait_s
+        while time.monotonic() < deadline:
             host = self.rng.choice(self.controls).host
             response = await exchange(host, CONTROL_PORT, method, path, [], body, 1.2)
             if response is not None and response.status in (200, 400, 404):
@@ -189,7 +190,7 @@
             await curio.sleep(0.05)
         return None
 
-    def document(self, version: int) -> dict[str, object]:
+    def configuration_document(self, version: int) -> dict[str, object]:
         routes = [
             {
                 "name": kind,
@@ -212,24 +213,29 @@
             "hosts": [{"host": "h.example", "paths": routes}],
         }
 
-    async def configure(self) -> None:
-        """Put the next version and read it back."""
+    async def put_configuration(self) -> None:
+        """Write the next configuration version and read it back."""
         self.version += 1
         version = self.version
-        put = await self.control_call(b"PUT", "/-/config", self.document(version))
+        put = await self.send_control_request(
+            b"PUT", "/-/config", self.configuration_document(version)
+        )
         if put is not None and put.status == 200:
             self.acknowledged = max(self.acknowledged, version)
         elif put is not None:
-            self.broken(f"config {version} refused with {put.status}")
-        before = self.acknowledged
-        got = await self.control_call(b"GET", "/-/config", wait_s=1.0)
+            self.add_violation(f"config {version} refused with {put.status}")
+        acknowledged_before = self.acknowledged
+        got = await self.send_control_request(b"GET", "/-/config", wait_s=1.0)
         if got is not None and got.status == 200:
-            read = json.loads(got.body)["version"]
-            if read < before:
-                self.broken(f"config: read {read} after {before} was acknowledged")
+            read_version = json.loads(got.body)["version"]
+            if read_version < acknowledged_before:
+                self.add_violation(
+                    f"config: read {read_version} after {acknowledged_before} "
+                    f"was acknowledged"
+                )
 
-    async def call_entries(self, number: int) -> None:
-        """Be a caller that keeps a connection until the process is gone."""
+    async def run_caller(self, number: int) -> None:
+        """Send requests as a caller that keeps its connection until it breaks."""
         rng = random.Random(self.seed * 1000 + number)
         connection: HttpConnection | None = None
         n_calls = 0
@@ -245,9 +251,9 @@
             n_calls += 1
             kind = rng.choice(("safe", "unsafe"))
             request_id = f"{kind}-{number}-{n_calls}"
-            self.n_asked += 1
-            keeps = await self._call(connection, kind, request_id)
-            if not keeps:
+            self.n_sent += 1
+            is_reusable = await self._call(connection, kind, request_id)
+            if not is_reusable:
                 await connection.close()
                 connection = None
 
@@ -270,19 +276,21 @@
             signature = find_header(response.headers, b"x-response-signature")
             expected = hashlib.sha256(request_id.encode()).hexdigest().encode()
             if signature != expected or response.body != expected * 3:
-                self.broken(f"{request_id}: a response that is not its own or whole")
+                self.add_violation(
+                    f"{request_id}: incomplete response, or that of another request"
+                )
         elif response.status in REFUSALS:
             self.refused.add(request_id)
         return connection.reusable
 
     # Faults
 
-    def note_fault(self) -> None:
+    def record_fault_time(self) -> None:
         self.last_fault_at = time.monotonic()
 
-    async def fault(self) -> None:
-        """Do one fault, drawn by the seed; the harm ends by itself."""
-        self.note_fault()
+    async def inject_fault(self) -> None:
+        """Inject one fault, drawn by the seed; it ends without further action."""
+        self.record_fault_time()
         kind = self.rng.choice(
             (
                 "kill_entry",
@@ -317,7 +325,7 @@
             case "wipe_control":
                 if self.is_disk_lost:
                     return
-                # One disk may be lost at a time; the next one after a calm phase.
+                # At most one disk is lost before the next calm phase.
                 self.is_disk_lost = True
                 program.kill()
                 shutil.rmtree(program.folder / "data")
@@ -333,67 +341,75 @@
                 backend.link.mode = self.rng.choice(list(Link)[1:])
                 await curio.sleep(pause_s)
                 backend.link.mode = Link.PASS
-                backend.link.cut()
+                backend.link.close_connections()
             case "backend":
                 backend = self.rng.choice(self.backends)
                 backend.fault = self.rng.choice(("shed", "reset", "cut", "late"))
                 await curio.sleep(pause_s)
                 backend.fault = ""
-        self.note_fault()
+        self.record_fault_time()
 
     async def restart(self, program: Program, number: int, pause_s: float) -> None:
         process, has_started = program.process, program.has_started()
         program.signal(number)
-        until = time.monotonic() + 7.0
-        while process.poll() is None and time.monotonic() < until:
+        deadline = time.monotonic() + 7.0
+        while process.poll() is None and time.monotonic() < deadline:
             await curio.sleep(0.02)
         if process is not program.process:
-            # Another fault has ended this process and started the next one.
+            # Another fault has already replaced this process.
             return
         if process.poll() is None:
-            self.broken(f"{program.name} still runs 7 s after signal {number}")
+            self.add_violation(f"{program.name} still runs 7 s after signal {number}")
             program.kill()
-        # It may have been killed by another fault, or before it set its handlers.
-        is_well = process.returncode in (0, -signal.SIGKILL) or not has_started
-        if number == signal.SIGTERM and not is_well:
-            self.broken(f"{program.name} ended with {process.returncode}")
+        # Another fault may have killed it, or it had not set its signal handlers.
+        is_expected_exit = process.returncode in (0, -signal.SIGKILL) or not has_started
+        if number == signal.SIGTERM and not is_expected_exit:
+            self.add_violation(f"{program.name} exited with {process.returncode}")
         await curio.sleep(pause_s)
         if process is program.process:
             program.start(self.seeds, False)
 
-    # Orders in calm
+    # Commands in calm phases
 
-    async def drain_one(self) -> None:
-        """Let a backend server leave; after the limit nothing may reach it."""
+    async def drain_backend(self) -> None:
+        """Drain a backend server; after the limit it must receive no requests."""
         backend = self.rng.choice([b for b in self.backends if not b.is_leaving])
         backend.is_leaving = True
         fields = backend.announcement()
         path = f"/-/instances/{backend.name}"
-        put = await self.control_call(b"PUT", path, fields)
+        put = await self.send_control_request(b"PUT", path, fields)
         if put is None or put.status != 200:
-            self.broken(f"{backend.name}: leaving was not acknowledged in calm")
+            self.add_violation(
+                f"{backend.name}: draining was not acknowledged in a calm phase"
+            )
             return
         await curio.sleep(DRAIN_LIMIT_S)
         n_before = backend.n_requests
         await curio.sleep(1.0)
         if backend.n_requests > n_before:
-            self.broken(f"{backend.name}: work {DRAIN_LIMIT_S} s after it left")
-        await backend.come_back()
+            self.add_violation(
+                f"{backend.name}: requests {DRAIN_LIMIT_S} s after it left"
+            )
+        await backend.start_new_incarnation()
 
     async def zone_out_and_in(self) -> None:
-        """Take a zone out; after the limit nothing may reach it; take it in."""
+        """Evacuate a zone, check that requests stop after the limit, and return it."""
         zone = self.rng.choice(ZONES)
-        out = await self.control_call(b"POST", f"/-/evacuations/{zone}")
+        out = await self.send_control_request(b"POST", f"/-/evacuations/{zone}")
         if out is None or out.status != 200:
-            self.broken(f"zone {zone} out was not acknowledged in calm")
+            self.add_violation(
+                f"zone {zone} evacuation was not acknowledged in a calm phase"
+            )
             return
         await curio.sleep(ZONE_LIMIT_S - 1.5)
         backends = [b for b in self.backends if b.zone == zone]
         n_before = sum(b.n_requests for b in backends)
         await curio.sleep(1.0)
         if sum(b.n_requests for b in backends) > n_before:
-            self.broken(f"zone {zone}: work {ZONE_LIMIT_S - 1.5} s after it was out")
-        await self.control_call(b"DELETE", f"/-/evacuations/{zone}")
+            self.add_violation(
+                f"zone {zone}: requests {ZONE_LIMIT_S - 1.5} s after its evacuation"
+            )
+        await self.send_control_request(b"DELETE", f"/-/evacuations/{zone}")
 
     # The run
 
@@ -402,10 +418,10 @@
             program.start(self.seeds, True)
         for backend in self.backends:
             await backend.start(self.seeds, CONTROL_PORT)
-        await self.configure()
+        await self.put_configuration()
         if not self.acknowledged:
-            self.broken("the first configuration was not acknowledged")
-        callers = [await curio.spawn(self.call_entries, k) for k in range(8)]
+            self.add_violation("the first configuration was not acknowledged")
+        callers = [await curio.spawn(self.run_caller, k) for k in range(8)]
         await curio.sleep(2.0)
         for _ in range(self.n_cycles):
             await self._cycle()
@@ -413,55 +429,60 @@
         self.is_over = True
         for caller in callers:
             await caller.join()
-        self._check_runs()
+        self._check_executions()
 
     async def _cycle(self) -> None:
-        until = time.monotonic() + 3.0
+        deadline = time.monotonic() + 3.0
         tasks = []
-        while time.monotonic() < until:
-            tasks.append(await curio.spawn(self.fault))
+        while time.monotonic() < deadline:
+            tasks.append(await curio.spawn(self.inject_fault))
             if self.rng.random() < 0.5:
-                tasks.append(await curio.spawn(self.configure))
+                tasks.append(await curio.spawn(self.put_configuration))
             await curio.sleep(self.rng.uniform(0.2, 0.9))
         for task in tasks:
             await task.join()
-        await curio.sleep(CALM_BEFORE_ORDERS_S)
-        await self.configure()
+        await curio.sleep(CALM_BEFORE_COMMANDS_S)
+        await self.put_configuration()
         self.is_disk_lost = False
-        first = await curio.spawn(self.drain_one)
+        drain_task = await curio.spawn(self.drain_backend)
         await self.zone_out_and_in()
-        await first.join()
+        await drain_task.join()
 
     async def _recover(self) -> None:
-        """Kill everything at once; what was acknowledged must be back and served."""
+        """Kill all processes; acknowledged configuration and service must recover."""
         for program in self.controls + self.entries:
             program.kill()
         for program in self.controls + self.entries:
             program.start(self.seeds, False)
-        self.note_fault()
-        got = await self.control_call(b"GET", "/-/config", wait_s=RECOVERY_LIMIT_S)
-        read = 0 if got is None else json.loads(got.body)["version"]
-        if not self.acknowledged <= read <= self.version:
-            self.broken(f"config: {read} after the end, {self.acknowledged} was acked")
-        until = time.monotonic() + RECOVERY_LIMIT_S
+        self.record_fault_time()
+        got = await self.send_control_request(
+            b"GET", "/-/config", wait_s=RECOVERY_LIMIT_S
+        )
+        recovered_version = 0 if got is None else json.loads(got.body)["version"]
+        if not self.acknowledged <= recovered_version <= self.version:
+            self.add_violation(
+                f"config: {recovered_version} after the restart of all, "
+                f"{self.acknowledged} was acknowledged"
+            )
+        deadline = time.monotonic() + RECOVERY_LIMIT_S
         n_before = self.n_served
-        while self.n_served < n_before + 20 and time.monotonic() < until:
+        while self.n_served < n_before + 20 and time.monotonic() < deadline:
             await curio.sleep(0.1)
         if self.n_served < n_before + 20:
-            self.broken("requests are not served after the recovery time")
+            self.add_violation("requests are not served within the recovery limit")
 
-    def _check_runs(self) -> None:
+    def _check_executions(self) -> None:
         runs: dict[str, int] = {}
         for backend in self.backends:
-            for request_id, n in backend.runs.items():
+            for request_id, n in backend.executions.items():
                 runs[request_id] = runs.get(request_id, 0) + n
         for request_id, n in runs.items():
             if n > 1 and request_id.startswith("unsafe"):
-                self.broken(f"{request_id} ran {n} times")
+                self.add_violation(f"{request_id} was executed {n} times")
             if request_id in self.refused and request_id.startswith("unsafe"):
-                self.broken(f"{request_id} was refused and ran")
-        if self.n_served < self.n_asked / 4:
-            self.broken(f"only {self.n_served} of {self.n_asked} requests served")
+                self.add_violation(f"{request_id} was refused and executed")
+        if self.n_served < self.n_sent / 4:
+            self.add_violation(f"only {self.n_served} of {self.n_sent} requests served")
 
     def stop(self) -> None:
         for program in self.controls + self.entries:
@@ -477,7 +498,7 @@
     body: bytes,
     timeout_s: float,
 ) -> Response | None:
-    """Do one request on a new connection; None when it got no answer."""
+    """Send one request on a new connection; return None without a response."""
     try:
         async with curio.timeout_after(timeout_s):
             connection = await HttpConnection.open(host, port)
@@ -494,7 +515,7 @@
 
 
 def run_seed(seed: int, n_cycles: int, keep: Path | None = None) -> list[str]:
-    """Run one seed and return the broken promises; logs stay in ``keep``."""
+    """Run one seed and return its violations; copy the logs of failures to ``keep``."""
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     soak = Soak(seed, folder, n_cycles)
     try:
@@ -504,12 +525,12 @@
         if soak.violations and keep is not None:
             shutil.copytree(folder, keep / f"seed-{seed}", dirs_exist_ok=True)
         shutil.rmtree(folder, ignore_errors=True)
-    print(f"seed={seed} asked={soak.n_asked} served={soak.n_served}", flush=True)
+    print(f"seed={seed} asked={soak.n_sent} served={soak.n_served}", flush=True)
     return soak.violations
 
 
 def main() -> int:
-    """Run the seeds of the command line; the exit status tells of any failure."""
+    """Run the given seeds; the exit status is 1 when any of them failed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", default="1-3", help="for example 1-50 or 7,9")
     parser.add_argument("--cycles", type=int, default=2)
@@ -530,7 +551,7 @@
 
 
 def run_parallel(seeds: list[int], arguments: argparse.Namespace) -> int:
-    """Run each seed in a process of its own, a few at a time."""
+    """Run each seed in its own process, up to ``--jobs`` in parallel."""
     waiting = list(seeds)
     running: list[subprocess.Popen[bytes]] = []
     n_failed = 0
--- a/benchmarks/soak_backends.py
+++ b/benchmarks/soak_backends.py
@@ -1,4 +1,4 @@
-"""Fake backend servers of the soak, behind a link that can be harmed."""
+"""Fake backend servers of the soak test, behind a proxy that injects link faults."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Link(Enum):
-    """What a proxy does with the bytes between an entry and a backend server."""
+    """How a proxy treats the bytes between an entry and a backend server."""
 
     PASS = "pass"
     DELAY = "delay"
@@ -30,7 +30,7 @@
 
 
 class LinkProxy:
-    """Passes connections on from one address to another, as its mode says."""
+    """Forwards connections to another address, with the link fault of its mode."""
 
     def __init__(self, host: str) -> None:
         self._host = host
@@ -40,14 +40,14 @@
         self.port = 0
 
     async def start(self, target: tuple[str, int]) -> None:
-        """Listen on a free port and pass connections on to the target."""
+        """Listen on a free port and forward connections to the target."""
         self._target = target
         sock = curio.tcp_server_socket(self._host, 0)
         self.port = sock.getsockname()[1]
         await curio.spawn(self._accept, sock, daemon=True)
 
-    def cut(self) -> None:
-        """End all connections, as a reset after a cut does."""
+    def close_connections(self) -> None:
+        """Shut down all connections, like a reset at the end of a network partition."""
         for sock in list(self._socks):
             try:
                 sock._socket.shutdown(socket.SHUT_RDWR)
@@ -78,25 +78,25 @@
             self._socks -= {client, server}
 
     async def _copy(
-        self, source: socket.socket, target: socket.socket, is_back: bool
+        self, source: socket.socket, target: socket.socket, is_response: bool
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await source.recv(65536):
                 if self.mode is Link.DELAY:
                     await curio.sleep(0.15)
-                while self._holds(is_back):
+                while self._is_blocked(is_response):
                     await curio.sleep(0.05)
                 await target.sendall(data)
 
-    def _holds(self, is_back: bool) -> bool:
-        """Return whether bytes of a direction are held up now."""
+    def _is_blocked(self, is_response: bool) -> bool:
+        """Return whether the mode blocks the bytes of a direction."""
         if self.mode is Link.ONE_WAY:
-            return is_back
+            return is_response
         return self.mode is Link.SILENT
 
 
 class SoakBackend:
-    """A backend server that counts what it runs, and announces itself."""
+    """A backend server that counts the executions of requests and announces itself."""
 
     def __init__(self, name: str, host: str, zone: str) -> None:
         self.name = name
@@ -105,35 +105,35 @@
         self.link = LinkProxy(host)
         self.fault = ""
         self.is_leaving = False
-        self.runs: dict[str, int] = {}
+        self.executions: dict[str, int] = {}
         self.n_requests = 0
         self._n_running = 0
         self._sequence = 0
-        self._born_ms = int(time.time() * 1000)
+        self._incarnation_ms = int(time.time() * 1000)
         self._seeds: list[str] = []
         self._control_port = 0
 
     async def start(self, seeds: list[str], control_port: int) -> None:
-        """Listen and begin to announce."""
+        """Start to listen and to send announcements."""
         self._seeds, self._control_port = seeds, control_port
         server = HttpServer(self._handle)
         port = await server.start(self.host, 0)
         await self.link.start((self.host, port))
         await curio.spawn(self._announce, daemon=True)
 
-    async def come_back(self) -> None:
-        """Start a new life under the same id and address."""
-        self._born_ms = int(time.time() * 1000)
+    async def start_new_incarnation(self) -> None:
+        """Start a new incarnation with the same id and address."""
+        self._incarnation_ms = int(time.time() * 1000)
         self._sequence = 0
         self.is_leaving = False
 
     def announcement(self) -> dict[str, object]:
-        """Return the next heartbeat."""
+        """Return the next announcement."""
         self._sequence += 1
         state = "draining" if self.is_leaving else "ready"
         return {
             "address": f"{self.host}:{self.link.port}",
-            "born": self._born_ms,
+            "born": self._incarnation_ms,
             "info": {"service": "s", "version": "v1", "zone": self.zone, "slots": 6},
             "status": {
                 "state": state,
@@ -162,25 +162,32 @@
 
     async def _handle(self, request: Request) -> Response | None:
         load = f"{self._n_running},0,6,100".encode()
-        known = [(b"x-instance-id", self.name.encode()), (b"x-server-load", load)]
+        common_headers = [
+            (b"x-instance-id", self.name.encode()),
+            (b"x-server-load", load),
+        ]
         if self.is_leaving:
-            known.append((b"server-leaving", b"1"))
+            common_headers.append((b"server-leaving", b"1"))
         if request.path == "/healthz":
-            return Response(503 if self.is_leaving else 200, known)
+            return Response(503 if self.is_leaving else 200, common_headers)
         expected = request.header(b"x-expected-instance")
         if expected not in (None, self.name.encode()):
-            return Response(421, [*known, (b"x-not-executed", b"1")])
+            return Response(421, [*common_headers, (b"x-not-executed", b"1")])
         request_id = find_header(request.headers, b"x-request-id") or b""
         self.n_requests += 1
         if self.fault == "shed":
-            refused = [*known, (b"x-request-id", request_id), (b"x-not-executed", b"1")]
+            refused = [
+                *common_headers,
+                (b"x-request-id", request_id),
+                (b"x-not-executed", b"1"),
+            ]
             if self.zone == "a":
-                # Servers of one zone ask for a rest. Another kind of fault would
-                # change what the kept seeds do.
+                # The servers of one zone request a back-off. A separate kind of fault
+                # would change the faults drawn by the seeds kept as regression tests.
                 refused.append((b"retry-after", b"0.7"))
             return Response(503, refused)
         name = request_id.decode()
-        self.runs[name] = self.runs.get(name, 0) + 1
+        self.executions[name] = self.executions.get(name, 0) + 1
         self._n_running += 1
         try:
             await curio.sleep(0.3 if self.fault == "late" else WORK_S)
@@ -190,7 +197,7 @@
             return None
         signature = hashlib.sha256(request_id).hexdigest().encode()
         headers = [
-            *known,
+            *common_headers,
             (b"x-request-id", request_id),
             (b"x-response-signature", signature),
         ]
