--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -136,7 +136,7 @@
     async def remove_zone() -> int:
         if await cluster.received_in_zone(zone) == 0:
             raise RuntimeError(
-                f"expected requests in zone {zone} before the evacuation"
+                f"expected requests in zone {zone} before the evacuation, got 0"
             )
         command = await curio.spawn(cluster.operate, "zone", "out", zone)
         await curio.sleep(ZONE_LIMIT_S)
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -231,7 +231,7 @@
             if read_version < acknowledged_before:
                 self.add_violation(
                     f"config: read {read_version} after {acknowledged_before} "
-                    f"was acknowledged"
+                    "was acknowledged"
                 )
 
     async def run_caller(self, number: int) -> None:
@@ -393,7 +393,7 @@
         await backend.start_new_incarnation()
 
     async def zone_out_and_in(self) -> None:
-        """Evacuate a zone, check that requests stop after the limit, and return it."""
+        """Evacuate a zone, check that its requests stop, and return it to service."""
         zone = self.rng.choice(ZONES)
         out = await self.send_control_request(b"POST", f"/-/evacuations/{zone}")
         if out is None or out.status != 200:
