--- a/pollenfold/core/configuration.py
+++ b/pollenfold/core/configuration.py
@@ -109,7 +109,7 @@
     if first_result is not None:
         if first_result.digest == digest:
             return first_result
-        detail = f"change id {change.change_id} was used for a different record"
+        detail = f"change id {change.change_id} was used for another record"
         return Answer(
             change.change_id, state.revision, ErrorKind.BAD_REQUEST, detail, digest
         )
--- a/pollenfold/core/directory.py
+++ b/pollenfold/core/directory.py
@@ -169,7 +169,7 @@
             leased = lease.entry
             if leased.entry_id == entry.entry_id:
                 if leased.incarnation > entry.incarnation:
-                    detail = f"a newer process uses the entry id {entry.entry_id}"
+                    detail = f"a later process has the entry id {entry.entry_id}"
                     return Failure(ErrorKind.BAD_REQUEST, detail)
         key = (entry.entry_id, entry.incarnation)
         if key in self._leases:
@@ -178,7 +178,7 @@
         elif not self.is_settled(now) and not holds_lease:
             return Failure(
                 ErrorKind.NOT_READY,
-                "waiting for leases of the previous leader to expire",
+                "the leader is new",
             )
         elif self.is_settled(now) and not admits_new:
             return Failure(ErrorKind.NOT_READY, "the fleet record is not in force yet")
--- a/pollenfold/core/errors.py
+++ b/pollenfold/core/errors.py
@@ -111,22 +111,22 @@
         504, _DID_NOT_RUN, 1, "the deadline can't be met"
     ),
     ErrorKind.NO_BACKEND_SERVER: ErrorAnswer(
-        503, _DID_NOT_RUN, 1, "no backend server can accept the request"
+        503, _DID_NOT_RUN, 1, "no backend server can take the request"
     ),
     ErrorKind.BACKEND_REFUSED: ErrorAnswer(
         503, _DID_NOT_RUN, 1, "the backend servers did not start the request"
     ),
     ErrorKind.BACKEND_FAILED: ErrorAnswer(
-        502, _UNKNOWN, 1, "the backend server failed before a complete response"
+        502, _UNKNOWN, 1, "the backend server failed before a whole answer"
     ),
     ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(
-        502, _UNKNOWN, None, "the request may have been executed; it is not retried"
+        502, _UNKNOWN, None, "the request may have run; it is not run again"
     ),
     ErrorKind.IN_PROGRESS: ErrorAnswer(
         409, _UNKNOWN, 1, "an earlier request with this key is in progress"
     ),
     ErrorKind.LEDGER_UNAVAILABLE: ErrorAnswer(
-        503, _DID_NOT_RUN, 1, "no majority of the ledger responds"
+        503, _DID_NOT_RUN, 1, "no majority of the ledger answers"
     ),
     ErrorKind.NO_QUORUM: ErrorAnswer(
         503, _UNKNOWN, 1, "no majority of the control replicas confirmed the change"
@@ -136,10 +136,10 @@
     ),
     ErrorKind.NOT_READY: ErrorAnswer(503, _DID_NOT_RUN, 1, "still starting"),
     ErrorKind.FLEET_FULL: ErrorAnswer(
-        503, _DID_NOT_RUN, 2, "the fleet has reached its maximum number of entries"
+        503, _DID_NOT_RUN, 2, "the fleet has its greatest number of entries"
     ),
     ErrorKind.BAD_FRAME: ErrorAnswer(400, _DID_NOT_RUN, None, "malformed frame"),
-    ErrorKind.UNREACHABLE: ErrorAnswer(503, _UNKNOWN, 1, "no response from the peer"),
+    ErrorKind.UNREACHABLE: ErrorAnswer(503, _UNKNOWN, 1, "no answer from the peer"),
     ErrorKind.STORAGE_FAILED: ErrorAnswer(
         503, _UNKNOWN, 1, "the data folder can't be written"
     ),
--- a/pollenfold/gateway/long_response.py
+++ b/pollenfold/gateway/long_response.py
@@ -38,7 +38,7 @@
         left_ms = remaining_ms(call.deadline, clock())
         try:
             if left_ms <= 0.0:
-                raise BodyError(ErrorKind.DEADLINE_EXCEEDED, "deadline exceeded")
+                raise BodyError(ErrorKind.DEADLINE_EXCEEDED, "deadline")
             async with curio.timeout_after(left_ms / 1000):
                 return await source.read()
         except (BodyError, curio.TaskTimeout) as error:
@@ -47,7 +47,7 @@
                 True,
                 request=call.request_id.decode("latin-1"),
                 endpoint=endpoint.announcement.endpoint_id,
-                detail=str(error) or "deadline exceeded",
+                detail=str(error) or "deadline",
             )
             endpoint.health.fail(ABORTED_RESPONSE_PENALTY, clock())
             raise BodyError(ErrorKind.BACKEND_FAILED) from error
--- a/pollenfold/observe/service.py
+++ b/pollenfold/observe/service.py
@@ -37,4 +37,4 @@
         return
     log.state("task_failed", task=first_done.name)
     log.flush()
-    raise first_done.exception or RuntimeError("a task ended without an error")
+    raise first_done.exception or RuntimeError("a task ended unexpectedly")
--- a/pollenfold/platform/__main__.py
+++ b/pollenfold/platform/__main__.py
@@ -102,7 +102,7 @@
         source = SettingsSource(settings_path())
         ROLES[arguments[0]](source)
     except (SettingsError, KeyError) as error:
-        print(f"pollenfold.platform: invalid settings: {error}", file=sys.stderr)
+        print(f"pollenfold.platform: bad settings: {error}", file=sys.stderr)
         return EXIT_BAD_SETTING
     except (OSError, RuntimeError) as error:
         # A port in use, an unusable data folder, or a task that ended unexpectedly.
