--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -76,7 +76,9 @@
     return "\n".join([summary, *(f"    {line}" for line in printed_lines)])
 
 
-def chosen(names: Iterable[str], mechanisms: list[Mechanism]) -> list[Mechanism]:
+def select_mechanisms(
+    names: Iterable[str], mechanisms: list[Mechanism]
+) -> list[Mechanism]:
     """Return the named mechanisms, or all; raise ValueError for an unknown name."""
     wanted = set(names)
     known = {mechanism.name for mechanism in mechanisms}
@@ -97,7 +99,7 @@
     parser.add_argument("command", nargs="+", help="command to run in each copy")
     arguments = parser.parse_args()
     try:
-        mechanisms = chosen(arguments.only, load_mechanisms())
+        mechanisms = select_mechanisms(arguments.only, load_mechanisms())
     except ValueError as error:
         parser.error(str(error))
     cases: list[Mechanism | None] = [None, *mechanisms]
--- a/benchmarks/call_cost.py
+++ b/benchmarks/call_cost.py
@@ -51,7 +51,7 @@
     before_s = processor_s(process_id)
     result = await run_load(plan)
     used_s = processor_s(process_id) - before_s
-    return result.n_whole / PHASE_S, used_s / PHASE_S
+    return result.n_complete / PHASE_S, used_s / PHASE_S
 
 
 async def run(rates: list[int]) -> None:
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -189,9 +189,9 @@
         """Apply one record with the command line tool."""
         path = self.group.folder / file_name
         path.write_text(json.dumps(record))
-        return await self.operate("apply", str(path))
+        return await self.run_operator_command("apply", str(path))
 
-    async def operate(self, *arguments: str) -> str:
+    async def run_operator_command(self, *arguments: str) -> str:
         """Run an operator command and return its output.
 
         Raise RuntimeError with the end of its log when it fails.
@@ -223,7 +223,7 @@
         counts = [await self.counts(b) for b in self.backends if b.zone == zone]
         return sum(counters["n_received"] for counters in counts)
 
-    async def wait_for_work(self, timeout_s: float = 20) -> None:
+    async def wait_until_serving(self, timeout_s: float = 20) -> None:
         """Wait until every service responds through every entry.
 
         New servers are cold, and new entries wait before they send requests to them.
@@ -245,13 +245,14 @@
 class HealthChecks:
     """Checks the health of the entries as the platform's load balancer does.
 
-    ``up`` holds the caller addresses of the entries whose last check succeeded.
+    ``healthy_targets`` holds the caller addresses of the entries whose last check
+    succeeded.
     """
 
     INTERVAL_S = 0.1
 
     def __init__(self, entries: list[EntryAddress]) -> None:
-        self.up = {(entry.host, entry.caller_port) for entry in entries}
+        self.healthy_targets = {(entry.host, entry.caller_port) for entry in entries}
         self._entries = entries
         self._tasks: list[curio.Task] = []
 
@@ -269,7 +270,7 @@
         while True:
             response = await request(entry.host, entry.platform_port, "GET", "/healthz")
             if response is not None and response.status == 200:
-                self.up.add(address)
+                self.healthy_targets.add(address)
             else:
-                self.up.discard(address)
+                self.healthy_targets.discard(address)
             await curio.sleep(self.INTERVAL_S)
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -18,7 +18,7 @@
 from pollenfold.core.configuration import ConfigurationView
 from pollenfold.core.endpoints import WarmState
 from pollenfold.core.records import RequestClass, Rule, ServiceSpec
-from pollenfold.core.warming import Directory
+from pollenfold.core.warmup import Directory
 from pollenfold.entry.health import EndpointHealth
 from pollenfold.entry.proxy import Proxy
 from pollenfold.entry.services import ServiceTable
@@ -41,14 +41,14 @@
 class InstantConnection:
     """A connection whose response is available immediately."""
 
-    reusable = True
+    is_reusable = True
     n_exchanges = 0
 
     async def send(self, *parts: object) -> None:
         """Count the request and discard it."""
         self.n_exchanges += 1
 
-    async def wait(self, timeout_ms: float) -> Response:
+    async def receive_response(self, timeout_ms: float) -> Response:
         """Return the response."""
         return Response(200, list(RESPONSE_HEADERS), b"abc")
 
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -29,7 +29,13 @@
     run_load,
 )
 from .processes import ProcessGroup, daemons_exist, wait_healthy, wait_listening
-from .promises import StepResult, check_step, format_table, read_runs, refusal_lines
+from .promises import (
+    StepResult,
+    check_step,
+    format_table,
+    read_executions,
+    refusal_lines,
+)
 
 KINDS = (
     CallKind("idempotent", "GET", "/pearl-market/stock/check", 0.3),
@@ -46,7 +52,7 @@
 
 
 @dataclass(slots=True)
-class Stage:
+class DemoRun:
     """The targets of the load, the run logs of the backend servers, and the results."""
 
     targets: tuple[Address, ...]
@@ -58,12 +64,12 @@
 
 
 async def run_step(
-    stage: Stage,
+    demo_run: DemoRun,
     name: str,
     duration_s: float,
     action: Action | None = None,
     *,
-    may_break: bool = False,
+    may_abort_requests: bool = False,
     resends_all: bool = False,
 ) -> StepResult:
     """Send load, run the action half a second later, then resend keys and check.
@@ -73,13 +79,13 @@
     run.
     """
     plan = LoadPlan(
-        stage.targets,
-        stage.rate_per_s,
+        demo_run.targets,
+        demo_run.rate_per_s,
         duration_s * 1000,
-        stage.seed + len(stage.steps),
+        demo_run.seed + len(demo_run.steps),
         kinds=KINDS,
         name=name.replace(" ", "-"),
-        healthy=stage.healthy,
+        healthy=demo_run.healthy,
     )
     task = await curio.spawn(run_load, plan)
     n_late_work, failure = None, ""
@@ -90,35 +96,39 @@
         except (RuntimeError, TimeoutError) as error:
             failure = str(error)
     load = await task.join()
-    step = StepResult(name, load, may_break=may_break, n_late_work=n_late_work)
-    step.resends = await resend(stage, load, resends_all)
-    finish_step(stage, step)
+    step = StepResult(
+        name, load, may_abort_requests=may_abort_requests, n_late_work=n_late_work
+    )
+    step.resends = await resend(demo_run, load, resends_all)
+    finish_step(demo_run, step)
     if failure:
         step.broken_promises.append(failure)
     return step
 
 
-def finish_step(stage: Stage, step: StepResult) -> None:
+def finish_step(demo_run: DemoRun, step: StepResult) -> None:
     """Check a step and store its result; omit violations of earlier steps."""
-    runs = read_runs(stage.run_logs)
-    already_reported = {text for s in stage.steps for text in s.broken_promises}
+    executions = read_executions(demo_run.run_logs)
+    already_reported = {text for s in demo_run.steps for text in s.broken_promises}
     step.broken_promises = [
-        text for text in check_step(step, runs) if text not in already_reported
+        text for text in check_step(step, executions) if text not in already_reported
     ]
-    step.greatest_runs = max(runs.by_key.values(), default=0)
-    stage.steps.append(step)
+    step.max_executions = max(executions.by_key.values(), default=0)
+    demo_run.steps.append(step)
 
 
-async def resend(stage: Stage, load: LoadResult, resends_all: bool) -> list[Outcome]:
+async def resend(
+    demo_run: DemoRun, load: LoadResult, resends_all: bool
+) -> list[Outcome]:
     """Send keys again, each through a different entry than the first time."""
     resent = LoadResult({name: ClassResult() for name in load.classes})
-    sender = Sender(LoadPlan(stage.targets, 1, 0, stage.seed), resent)
+    sender = Sender(LoadPlan(demo_run.targets, 1, 0, demo_run.seed), resent)
     for outcome in list(load.outcomes):
         if not outcome.key or (outcome.state != "unknown" and not resends_all):
             continue
-        up = stage.targets if stage.healthy is None else stage.healthy
-        others = [target for target in stage.targets if target != outcome.target]
-        target = next((other for other in others if other in up), outcome.target)
+        healthy = demo_run.targets if demo_run.healthy is None else demo_run.healthy
+        others = [target for target in demo_run.targets if target != outcome.target]
+        target = next((other for other in others if other in healthy), outcome.target)
         call = Call(outcome.kind, 0.0, f"{outcome.request_id}-again", outcome.key)
         await sender.send(call, target)
     await sender.close()
@@ -127,7 +137,7 @@
     return resent.outcomes
 
 
-async def take_zone_out(stage: Stage, cluster: Cluster, zone: str) -> None:
+async def take_zone_out(demo_run: DemoRun, cluster: Cluster, zone: str) -> None:
     """Evacuate a zone under load and count the new requests there after the limit.
 
     The limit counts from the start of the operator's command.
@@ -138,7 +148,7 @@
             raise RuntimeError(
                 f"expected requests in zone {zone} before the evacuation, got 0"
             )
-        command = await curio.spawn(cluster.operate, "zone", "out", zone)
+        command = await curio.spawn(cluster.run_operator_command, "zone", "out", zone)
         await curio.sleep(ZONE_LIMIT_S)
         n_before = await cluster.received_in_zone(zone)
         await curio.sleep(2)
@@ -146,7 +156,7 @@
         await _join_command(command)
         return n_late_work
 
-    await run_step(stage, f"zone {zone} out", 0.5 + ZONE_LIMIT_S + 2.5, remove_zone)
+    await run_step(demo_run, f"zone {zone} out", 0.5 + ZONE_LIMIT_S + 2.5, remove_zone)
 
 
 async def _join_command(command: curio.Task) -> None:
@@ -156,17 +166,17 @@
         raise RuntimeError(str(error.__cause__)) from error
 
 
-async def take_zone_in(stage: Stage, cluster: Cluster, zone: str) -> None:
+async def take_zone_in(demo_run: DemoRun, cluster: Cluster, zone: str) -> None:
     """Return a zone to service; its servers warm up under load."""
 
     async def return_zone() -> None:
-        await cluster.operate("zone", "in", zone)
+        await cluster.run_operator_command("zone", "in", zone)
 
-    await run_step(stage, f"zone {zone} in", 3, return_zone)
+    await run_step(demo_run, f"zone {zone} in", 3, return_zone)
 
 
 async def kill_and_restart(
-    stage: Stage,
+    demo_run: DemoRun,
     cluster: Cluster,
     role: str,
     name: str,
@@ -180,10 +190,12 @@
         cluster.group.restart(name)
         await ready()
 
-    await run_step(stage, f"kill {role}", 3, kill, may_break=role == "entry")
+    await run_step(
+        demo_run, f"kill {role}", 3, kill, may_abort_requests=role == "entry"
+    )
 
 
-async def stop_entry(stage: Stage, cluster: Cluster, n: int) -> None:
+async def stop_entry(demo_run: DemoRun, cluster: Cluster, n: int) -> None:
     """Stop an entry with SIGTERM under load; no request may be interrupted."""
     name = cluster.entries[n].entry_id
     process = cluster.group.processes[name]
@@ -194,57 +206,57 @@
         if status != 0:
             raise RuntimeError(f"{name}: expected exit status 0, got {status}")
 
-    await run_step(stage, "planned stop", 4, stop)
+    await run_step(demo_run, "planned stop", 4, stop)
 
 
-async def run_steps(stage: Stage, cluster: Cluster) -> None:
+async def run_steps(demo_run: DemoRun, cluster: Cluster) -> None:
     """Run all steps in order."""
     control, ledger = cluster.control[0], cluster.ledger[0]
     entry, backend = cluster.entries[0], cluster.backends[0]
-    await run_step(stage, "steady", 2)
-    await run_step(stage, "resend keys", 1.5, resends_all=True)
-    await take_zone_out(stage, cluster, "b")
-    await take_zone_in(stage, cluster, "b")
+    await run_step(demo_run, "steady", 2)
+    await run_step(demo_run, "resend keys", 1.5, resends_all=True)
+    await take_zone_out(demo_run, cluster, "b")
+    await take_zone_in(demo_run, cluster, "b")
     await kill_and_restart(
-        stage,
+        demo_run,
         cluster,
         "entry",
         entry.entry_id,
         lambda: wait_healthy(entry.host, entry.platform_port),
     )
     await kill_and_restart(
-        stage,
+        demo_run,
         cluster,
         "control",
         control.replica_id,
         lambda: wait_listening(control.host, control.operator_port),
     )
     await kill_and_restart(
-        stage,
+        demo_run,
         cluster,
         "ledger",
         ledger.replica_id,
         lambda: wait_listening(ledger.host, ledger.peer_port),
     )
     await kill_and_restart(
-        stage,
+        demo_run,
         cluster,
         "backend server",
         backend.name,
         lambda: wait_healthy(backend.host, backend.port),
     )
-    await stop_entry(stage, cluster, len(cluster.entries) - 1)
+    await stop_entry(demo_run, cluster, len(cluster.entries) - 1)
 
 
 async def run_demo(cluster: Cluster, seed: int) -> list[StepResult]:
     """Start the system, run the steps and return them."""
     await cluster.start()
-    await cluster.wait_for_work()
+    await cluster.wait_until_serving()
     async with HealthChecks(cluster.entries) as checks:
         run_logs = [backend.run_log for backend in cluster.backends]
-        stage = Stage(cluster.targets, run_logs, checks.up, seed=seed)
-        await run_steps(stage, cluster)
-    return stage.steps
+        demo_run = DemoRun(cluster.targets, run_logs, checks.healthy_targets, seed=seed)
+        await run_steps(demo_run, cluster)
+    return demo_run.steps
 
 
 def report(steps: list[StepResult]) -> int:
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -19,7 +19,7 @@
 from pydantic_settings import BaseSettings, SettingsConfigDict
 
 from pollenfold.observe.clock import system_clock
-from pollenfold.testing.answers import check_answer
+from pollenfold.testing.response_bodies import check_response_body
 
 from .arrivals import burst_arrivals, poisson_arrivals
 from .connection import CallerConnection, Response, ResponseError, encode_request
@@ -80,7 +80,7 @@
     """
 
     n_sent: int = 0
-    n_whole: int = 0
+    n_complete: int = 0
     wrong: Counter[str] = field(default_factory=Counter)
     broken: Counter[str] = field(default_factory=Counter)
     refusals: Counter[tuple[str, str]] = field(default_factory=Counter)
@@ -97,7 +97,7 @@
     def add(self, other: ClassResult) -> None:
         """Add the figures of another run of the same class."""
         self.n_sent += other.n_sent
-        self.n_whole += other.n_whole
+        self.n_complete += other.n_complete
         self.wrong += other.wrong
         self.broken += other.broken
         self.refusals += other.refusals
@@ -132,16 +132,16 @@
     duration_ms: float = 0.0
 
     @property
-    def n_whole(self) -> int:
+    def n_complete(self) -> int:
         """The number of complete responses of all classes."""
-        return sum(result.n_whole for result in self.classes.values())
+        return sum(result.n_complete for result in self.classes.values())
 
     def lines(self, prefix: str) -> Iterator[str]:
         """Yield the figures as ``name=value`` lines."""
         for name, class_result in self.classes.items():
             class_prefix = f"{prefix}.{name}"
             yield f"{class_prefix}.sent={class_result.n_sent}"
-            yield f"{class_prefix}.whole={class_result.n_whole}"
+            yield f"{class_prefix}.whole={class_result.n_complete}"
             for percentile in (50, 99, 99.9):
                 value = class_result.percentile_ms(percentile)
                 yield f"{class_prefix}.p{percentile}_ms={value:.3f}"
@@ -270,7 +270,7 @@
     return result
 
 
-async def run_at_most(plan: LoadPlan) -> LoadResult:
+async def run_closed_loop(plan: LoadPlan) -> LoadResult:
     """Send closed-loop load: the next call on a connection follows the last response.
 
     This measures the maximum throughput. The latencies exclude queueing and are not
@@ -312,13 +312,13 @@
         refusal = response.refusal()
         class_result.refusals[refusal] += 1
         return refusal[1]
-    problem = check_answer(response.body, call.request_id, call.key)
+    problem = check_response_body(response.body, call.request_id, call.key)
     if problem is not None:
         class_result.wrong[
             "not whole" if problem == "not whole" else "not its own"
         ] += 1
         return "unknown"
-    class_result.n_whole += 1
+    class_result.n_complete += 1
     latency_us = round((system_clock() - call.due) * 1000)
     class_result.latency.record_value(max(1, min(latency_us, MAX_LATENCY_US)))
     return "whole"
--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -14,81 +14,81 @@
 
 
 @dataclass(slots=True)
-class Runs:
+class Executions:
     """Number of executions on all backend servers, by key and by request id."""
 
     by_key: Counter[str] = field(default_factory=Counter)
     by_request: Counter[str] = field(default_factory=Counter)
 
 
-def read_runs(run_logs: Iterable[Path]) -> Runs:
+def read_executions(run_logs: Iterable[Path]) -> Executions:
     """Count the executions in the run logs of the fake backend servers."""
-    runs = Runs()
+    executions = Executions()
     for path in run_logs:
         if not path.exists():
             continue
         for line in path.read_text().splitlines():
             request_id, _, key = line.partition("\t")
-            runs.by_request[request_id] += 1
+            executions.by_request[request_id] += 1
             if key:
-                runs.by_key[key] += 1
-    return runs
+                executions.by_key[key] += 1
+    return executions
 
 
 @dataclass(slots=True)
 class StepResult:
     """One step of the demo.
 
-    ``may_break`` permits aborted requests: it is set when an entry is killed, which
-    closes its connections. ``n_late_work`` counts the requests that reached a zone
-    later than 3 s after its evacuation; it is None in steps without an evacuation.
+    ``may_abort_requests`` permits aborted requests: it is set when an entry is killed,
+    which closes its connections. ``n_late_work`` counts the requests that reached a
+    zone later than 3 s after its evacuation; it is None in steps without an evacuation.
     """
 
     name: str
     load: LoadResult
     resends: list[Outcome] = field(default_factory=list)
-    may_break: bool = False
+    may_abort_requests: bool = False
     n_late_work: int | None = None
-    greatest_runs: int = 0
+    max_executions: int = 0
     broken_promises: list[str] = field(default_factory=list)
 
 
-def check_step(step: StepResult, runs: Runs) -> list[str]:
+def check_step(step: StepResult, executions: Executions) -> list[str]:
     """Return one sentence for each promise that the step broke."""
     outcomes = [*step.load.outcomes, *step.resends]
     return [
-        *_check_duplicate_executions(runs),
-        *_check_refusals(outcomes, runs),
-        *_check_completed(outcomes, runs),
+        *_check_duplicate_executions(executions),
+        *_check_refusals(outcomes, executions),
+        *_check_completed(outcomes, executions),
         *_check_responses(step),
         *_check_zone(step),
     ]
 
 
-def _check_duplicate_executions(runs: Runs) -> Iterator[str]:
-    for key, n_runs in runs.by_key.items():
+def _check_duplicate_executions(executions: Executions) -> Iterator[str]:
+    for key, n_runs in executions.by_key.items():
         if n_runs > 1:
             yield f"key {key} ran {n_runs} times"
 
 
-def _check_refusals(outcomes: list[Outcome], runs: Runs) -> Iterator[str]:
+def _check_refusals(outcomes: list[Outcome], executions: Executions) -> Iterator[str]:
     last_of_key = {outcome.key: outcome for outcome in outcomes if outcome.key}
     for outcome in outcomes:
-        if outcome.state == "did_not_run" and runs.by_request[outcome.request_id]:
+        if outcome.state == "did_not_run" and executions.by_request[outcome.request_id]:
             yield f"request {outcome.request_id} was answered did_not_run and ran"
     for key, outcome in last_of_key.items():
-        if outcome.state == "did_not_run" and runs.by_key[key]:
+        if outcome.state == "did_not_run" and executions.by_key[key]:
             yield f"key {key} was answered did_not_run and ran"
 
 
-def _check_completed(outcomes: list[Outcome], runs: Runs) -> Iterator[str]:
+def _check_completed(outcomes: list[Outcome], executions: Executions) -> Iterator[str]:
     for outcome in outcomes:
         if outcome.state != "whole":
             continue
         n_runs = (
-            runs.by_key[outcome.key]
+            executions.by_key[outcome.key]
             if outcome.key
-            else runs.by_request[outcome.request_id]
+            else executions.by_request[outcome.request_id]
         )
         if n_runs == 0:
             yield f"request {outcome.request_id} was answered and never ran"
@@ -101,7 +101,7 @@
         for reason, n in class_result.wrong.items():
             yield f"{n} answers of class {name} were {reason}"
         for reason, n in class_result.broken.items():
-            if reason in MALFORMED_RESPONSES or not step.may_break:
+            if reason in MALFORMED_RESPONSES or not step.may_abort_requests:
                 yield f"{n} requests of class {name} were aborted: {reason}"
 
 
@@ -122,11 +122,11 @@
             [
                 step.name,
                 str(sum(c.n_sent for c in classes)),
-                str(sum(c.n_whole for c in classes)),
+                str(sum(c.n_complete for c in classes)),
                 str(sum(c.refusals.total() for c in classes)),
                 str(sum(c.broken.total() for c in classes)),
                 str(len(step.resends)),
-                str(step.greatest_runs),
+                str(step.max_executions),
                 late_work,
                 "broken" if step.broken_promises else "kept",
             ]
--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -17,7 +17,7 @@
 from pydantic_settings import BaseSettings, SettingsConfigDict
 
 from .cluster import Cluster, Topology
-from .load import ClassResult, LoadPlan, LoadResult, run_at_most, run_load
+from .load import ClassResult, LoadPlan, LoadResult, run_closed_loop, run_load
 from .policies import compare_policies
 from .processes import (
     ProcessGroup,
@@ -62,7 +62,7 @@
     )
     cluster = Cluster(group, topology)
     await cluster.start()
-    await cluster.wait_for_work()
+    await cluster.wait_until_serving()
     backend = cluster.backends[0]
     return {"direct": (backend.host, backend.port), "entry": cluster.targets[0]}
 
@@ -138,7 +138,7 @@
             n_connections=32,
             name=f"{name}-most",
         )
-        results[name] = await run_at_most(plan)
+        results[name] = await run_closed_loop(plan)
     return results
 
 
@@ -164,7 +164,7 @@
                 f"{name}{suffix}.{kind}.median_round_p99_ms={value:.3f} "
                 f"baseline_direct={base:.3f} added={value - base:.3f}"
             )
-            n_incomplete = class_result.n_sent - class_result.n_whole
+            n_incomplete = class_result.n_sent - class_result.n_complete
             yield (
                 f"{name}{suffix}.{kind}.sent={class_result.n_sent} "
                 f"not_whole={n_incomplete}"
@@ -173,9 +173,9 @@
 
 def throughput_lines(results: dict[str, LoadResult]) -> Iterator[str]:
     """Yield the throughput of each path with the direct path as baseline."""
-    base = results["direct"].n_whole / results["direct"].duration_ms * 1000
+    base = results["direct"].n_complete / results["direct"].duration_ms * 1000
     for name, result in results.items():
-        value = result.n_whole / result.duration_ms * 1000
+        value = result.n_complete / result.duration_ms * 1000
         yield f"{name}.calls_per_s_at_most={value:.0f} baseline_direct={base:.0f}"
 
 
@@ -198,7 +198,7 @@
         for line in throughput_lines(throughput):
             print(line, flush=True)
     return all(
-        class_result.n_sent == class_result.n_whole
+        class_result.n_sent == class_result.n_complete
         for classes in (*latency.values(), *burst_latency.values())
         for class_result in classes.values()
     )
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -90,7 +90,7 @@
             is_bursty=is_bursty,
             n_connections=256,
             name=f"{self.service}-{self.n_loads}",
-            healthy=self.checks.up,
+            healthy=self.checks.healthy_targets,
         )
         return await run_load(plan)
 
@@ -171,7 +171,7 @@
     cluster = system.cluster
     start = system_clock()
     load = await curio.spawn(system.load, MOVE_S)
-    command = await curio.spawn(cluster.operate, "zone", "out", ZONE)
+    command = await curio.spawn(cluster.run_operator_command, "zone", "out", ZONE)
     await curio.sleep(ZONE_LIMIT_S)
     n_before = await cluster.received_in_zone(ZONE)
     result = await load.join()
@@ -201,7 +201,7 @@
     n_before = [(await cluster.counts(b))["n_overload_violations"] for b in cold]
     n_received = await cluster.received_in_zone(ZONE)
     load = await curio.spawn(system.load, MOVE_S)
-    await cluster.operate("zone", "in", ZONE)
+    await cluster.run_operator_command("zone", "in", ZONE)
     result = await load.join()
     n_received = await cluster.received_in_zone(ZONE) - n_received
     zone_share = n_received / len(result.outcomes)
@@ -272,7 +272,7 @@
             f"sent={class_result.n_sent}{reasons}"
         )
     goodput, steady = (
-        load_result.n_whole / sum(c.n_sent for c in load_result.classes.values())
+        load_result.n_complete / sum(c.n_sent for c in load_result.classes.values())
         for load_result in (result, base)
     )
     print(f"{name}.goodput_share={goodput:.4f} no_fault={steady:.4f}", flush=True)
@@ -341,7 +341,7 @@
     with ProcessGroup(folder) as group:
         cluster = Cluster(group, topology)
         await cluster.start()
-        await cluster.wait_for_work()
+        await cluster.wait_until_serving()
         async with HealthChecks(cluster.entries) as checks:
             system = ScenarioSystem(cluster, checks, seed)
             print(
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -281,7 +281,7 @@
                 )
         elif response.status in REFUSALS:
             self.refused.add(request_id)
-        return connection.reusable
+        return connection.is_reusable
 
     # Faults
 
--- a/benchmarks/windows.py
+++ b/benchmarks/windows.py
@@ -19,7 +19,7 @@
     """The calls of one class that were scheduled within one time window."""
 
     n_sent: int = 0
-    n_whole: int = 0
+    n_complete: int = 0
     failures: Counter[str] = field(default_factory=Counter)
     latencies_ms: list[float] = field(default_factory=list)
 
@@ -33,7 +33,7 @@
     def hurt_share(self, limit_ms: float) -> float:
         """Return the share without a complete response within the limit."""
         n_slow = sum(latency_ms > limit_ms for latency_ms in self.latencies_ms)
-        return (self.n_sent - self.n_whole + n_slow) / max(1, self.n_sent)
+        return (self.n_sent - self.n_complete + n_slow) / max(1, self.n_sent)
 
 
 def window(
@@ -49,7 +49,7 @@
             continue
         result.n_sent += 1
         if outcome.state == "whole":
-            result.n_whole += 1
+            result.n_complete += 1
             result.latencies_ms.append(outcome.latency_ms)
         else:
             result.failures[outcome.state] += 1
@@ -68,8 +68,8 @@
     )
     reasons = "".join(f" {state}={n}" for state, n in sorted(measured.failures.items()))
     yield (
-        f"{name}.idempotent.not_whole={measured.n_sent - measured.n_whole} "
-        f"sent={measured.n_sent} steady={steady.n_sent - steady.n_whole}{reasons}"
+        f"{name}.idempotent.not_whole={measured.n_sent - measured.n_complete} "
+        f"sent={measured.n_sent} steady={steady.n_sent - steady.n_complete}{reasons}"
     )
 
 
--- a/pollenfold/control/cluster.py
+++ b/pollenfold/control/cluster.py
@@ -18,17 +18,17 @@
 from ..http.messages import Request, Response, error_response
 from ..http.server import Handler, HttpServer
 from ..observe.clock import system_clock
+from ..observe.daemon import metrics_response, reload_settings, wait_for_stop_task
 from ..observe.events import EventLog
 from ..observe.exposition import Metrics
 from ..observe.logs import forward_logs
-from ..observe.service import metrics_response, reload_settings, wait_for_end
 from ..observe.signals import wait_for_stop
 from ..storage.endpoint_cache import read_endpoint_cache, write_endpoint_cache
 from ..storage.member import load_member_id
 from ..wire.frames import Protocol
 from ..wire.rpc import RpcServer
+from .cluster_state import ClusterState, PeerView
 from .feed_server import FeedServer
-from .order_book import ClusterState, PeerView
 from .replica import DynamicMembers, Replica
 
 JOIN_INTERVAL_MS = 400.0
@@ -75,7 +75,7 @@
         self.log = EventLog(settings.name, clock)
         forward_logs(self.log)
         self.metrics = Metrics()
-        self.book = ClusterState(settings.n_members, clock, self.log)
+        self.cluster_state = ClusterState(settings.n_members, clock, self.log)
         address = f"{settings.host}:{settings.peer_port}"
         settings.data_folder.mkdir(parents=True, exist_ok=True)
         self.replica_id = load_member_id(settings.data_folder, address)
@@ -84,17 +84,17 @@
             self.replica_id,
             {self.replica_id: (settings.host, settings.peer_port)},
             settings.data_folder,
-            self.book.apply,
-            self.book.snapshot,
-            self.book.restore,
+            self.cluster_state.apply,
+            self.cluster_state.snapshot,
+            self.cluster_state.restore,
             clock,
             secrets.randbits(32),
             members=members,
         )
-        self.book.replica = self.replica
-        self.peers = PeerView(self.book)
+        self.cluster_state.replica = self.replica
+        self.peers = PeerView(self.cluster_state)
         self.feed_server = FeedServer(
-            settings.zone, self.book, self.peers, clock, self.log
+            settings.zone, self.cluster_state, self.peers, clock, self.log
         )
         identity = FeedIdentity(settings.name, settings.zone, "control")
         self.feeds = Feeds(
@@ -110,7 +110,7 @@
             {
                 Protocol.AGREEMENT: self.replica.handle,
                 Protocol.MEMBERSHIP: self._handle_join,
-                Protocol.OPERATOR: self.book.handle_forwarded,
+                Protocol.OPERATOR: self.cluster_state.handle_forwarded,
             }
         )
 
@@ -122,7 +122,7 @@
         for fields in announcements:
             try:
                 announcement = decode_announcement(fields)
-                self.book.merge_announcement(announcement)
+                self.cluster_state.merge_announcement(announcement)
             except ValueError as error:
                 self.log.state("bad_cache", detail=str(error))
         self.feed_server.fleet.report(n_entries, system_clock())
@@ -133,7 +133,7 @@
         while True:
             await curio.sleep(CACHE_INTERVAL_MS / 1000)
             announcements = sorted(
-                self.book.registry.announcements(), key=lambda a: a.endpoint_id
+                self.cluster_state.registry.announcements(), key=lambda a: a.endpoint_id
             )
             n_entries = self.feed_server.fleet.get(system_clock())
             current = (n_entries, *((a.endpoint_id, a.born_ms) for a in announcements))
@@ -189,14 +189,14 @@
 
     async def _send_join_request(self, address: str) -> None:
         payload = self.replica_id.encode()
-        result = await self.book.call(
+        result = await self.cluster_state.call(
             address, Protocol.MEMBERSHIP, payload, JOIN_TIMEOUT_MS
         )
         if result.is_error():
             return
         leader_id = json.loads(result.ok)["leader"]
         if leader_id and address_of(leader_id) != address:
-            await self.book.call(
+            await self.cluster_state.call(
                 leader_id, Protocol.MEMBERSHIP, payload, JOIN_TIMEOUT_MS
             )
 
@@ -214,9 +214,11 @@
         metrics.set("commit_index", status.get("commit_index", 0))
         metrics.set("applied_index", self.replica.applied_index())
         metrics.set("voters", len(self.replica.voters()))
-        metrics.set("configuration_version", self.book.orders.version)
+        metrics.set(
+            "configuration_version", self.cluster_state.replicated_state.version
+        )
         metrics.set("readers", self.feed_server.n_subscribers)
-        metrics.set("endpoints", len(self.book.registry))
+        metrics.set("endpoints", len(self.cluster_state.registry))
         return metrics_response(metrics, self.log)
 
     def reload(self) -> None:
@@ -260,7 +262,7 @@
             replica=node.replica_id,
             founder=settings.is_founder,
         )
-        await wait_for_end(group, stop, node.log)
+        await wait_for_stop_task(group, stop, node.log)
         node.log.state("stopping", n_in_flight=api.n_in_flight)
         await api.stop()
         async with curio.ignore_after(STOP_WAIT_MS / 1000):
--- a/pollenfold/control/order_book.py
+++ b/pollenfold/control/cluster_state.py
@@ -19,17 +19,17 @@
 from ..core.clock import Clock, Instant, add_ms, remaining_ms
 from ..core.digests import bucket_digests
 from ..core.errors import ErrorKind
-from ..core.orders import (
+from ..core.registry import Announcement, Registry, decode_announcement
+from ..core.replicated_state import (
+    Command,
     Configure,
     Depart,
     Evacuate,
-    Order,
-    Orders,
-    decode_order,
-    decode_orders,
-    encode_order,
+    ReplicatedState,
+    decode_command,
+    decode_replicated_state,
+    encode_command,
 )
-from ..core.registry import Announcement, Registry, decode_announcement
 from ..observe.events import EventLog
 from ..wire.frames import Protocol
 from ..wire.rpc import RpcClient
@@ -74,7 +74,7 @@
         self._log = log
         self._clients: dict[tuple[str, int], RpcClient] = {}
         self._started_at = clock()
-        self.orders = Orders()
+        self.replicated_state = ReplicatedState()
         self.registry = Registry()
         self.announced_ids: set[str] = set()
         self.relayed_ids: set[str] = set()
@@ -93,11 +93,11 @@
         if encoded == BARRIER:
             return
         try:
-            command = decode_order(encoded)
+            command = decode_command(encoded)
         except ValueError as error:
             self._log.state("bad_command", index=index, error=str(error))
             return
-        is_changed = self.orders.apply(index, command)
+        is_changed = self.replicated_state.apply(index, command)
         self._log.state(
             "order_applied",
             index=index,
@@ -109,11 +109,11 @@
 
     def snapshot(self) -> bytes:
         """Return the replicated state as bytes."""
-        return json.dumps(self.orders.encode()).encode()
+        return json.dumps(self.replicated_state.encode()).encode()
 
     def restore(self, data: bytes) -> None:
         """Replace the replicated state by a snapshot."""
-        self.orders = decode_orders(json.loads(data))
+        self.replicated_state = decode_replicated_state(json.loads(data))
         self.on_change()
 
     # Announcements
@@ -135,7 +135,7 @@
         """Record endpoints that announced themselves again to another replica."""
         now = self._clock()
         for endpoint_id in endpoint_ids:
-            self.registry.hear(endpoint_id, now)
+            self.registry.renew(endpoint_id, now)
             self.relayed_ids.add(endpoint_id)
 
     async def announce(
@@ -171,7 +171,7 @@
     # Commands
 
     async def submit(
-        self, command: Order, timeout_ms: float
+        self, command: Command, timeout_ms: float
     ) -> Result[None, ErrorKind]:
         """Commit a command.
 
@@ -185,16 +185,16 @@
             return Error(ErrorKind.NOT_READY)
         deadline = add_ms(self._clock(), timeout_ms)
         is_repeatable = not isinstance(command, Evacuate)
-        encoded = encode_order(command)
+        encoded = encode_command(command)
         committed = await self._commit_index(encoded, deadline, is_repeatable)
         return Error(committed.error) if committed.is_error() else Ok(None)
 
-    def _is_redundant(self, command: Order) -> bool:
+    def _is_redundant(self, command: Command) -> bool:
         match command:
             case Configure(version, _):
-                return version <= self.orders.version
+                return version <= self.replicated_state.version
             case Depart(endpoint_id, born_ms):
-                return self.orders.has_departed(endpoint_id, born_ms)
+                return self.replicated_state.has_departed(endpoint_id, born_ms)
             case Evacuate():
                 # An earlier opposite command may not have reached this replica yet.
                 return False
@@ -202,9 +202,13 @@
     def _is_bootstrapping(self) -> bool:
         is_starting = self._clock() < add_ms(self._started_at, BOOTSTRAP_WAIT_MS)
         n_voters = len(self.replica.voters())
-        return is_starting and self.orders.version == 0 and n_voters < self._n_members
+        return (
+            is_starting
+            and self.replicated_state.version == 0
+            and n_voters < self._n_members
+        )
 
-    async def read(self, timeout_ms: float) -> Result[Orders, ErrorKind]:
+    async def read(self, timeout_ms: float) -> Result[ReplicatedState, ErrorKind]:
         """Return the state, with every command acknowledged before the call applied."""
         deadline = add_ms(self._clock(), timeout_ms)
         committed = await self._commit_index(BARRIER, deadline)
@@ -214,7 +218,7 @@
             if self._clock() >= deadline:
                 return Error(ErrorKind.NO_QUORUM)
             await curio.sleep(0.01)
-        return Ok(self.orders)
+        return Ok(self.replicated_state)
 
     async def _commit_index(
         self, command: bytes, deadline: Instant, is_repeatable: bool = True
@@ -280,7 +284,7 @@
         return result
 
 
-def _subject(command: Order) -> str:
+def _subject(command: Command) -> str:
     match command:
         case Configure(version, _):
             return str(version)
@@ -306,9 +310,9 @@
         """Fleet size reported by others; this replica counts its own subscribers."""
 
     @property
-    def orders(self) -> Orders:
+    def replicated_state(self) -> ReplicatedState:
         """An empty state with the highest index, so that ``Feeds`` requests none."""
-        return Orders(index=1 << 62)
+        return ReplicatedState(index=1 << 62)
 
     @property
     def control_hosts(self) -> frozenset[str]:
@@ -325,21 +329,21 @@
         """Return the bucket digests of the known endpoints."""
         return bucket_digests(self._cluster_state.registry.announcements())
 
-    def take_announcements(self, items: Iterable[tuple[list[object], float]]) -> None:
+    def apply_announcements(self, items: Iterable[tuple[list[object], float]]) -> None:
         """Merge announcements that another replica received."""
         for fields, _ in items:
             self._cluster_state.merge_announcement(decode_announcement(fields))
 
-    def hear(self, endpoint_ids: list[str]) -> None:
+    def renew_endpoints(self, endpoint_ids: list[str]) -> None:
         """Record repeated announcements, to send their ids to entries."""
         self._cluster_state.refresh_relayed(endpoint_ids)
 
     def expire(self) -> None:
         """Keep all endpoints; entries expire unresponsive ones themselves."""
 
-    def take_orders(self, fields: dict[str, Any], source: str) -> bool:
+    def apply_replicated_state(self, fields: dict[str, Any], source: str) -> bool:
         """Ignore the state, since commands arrive through the log."""
         return False
 
-    def take_control_hosts(self, control_hosts: list[str]) -> None:
+    def set_control_hosts(self, control_hosts: list[str]) -> None:
         """Ignore the hosts, since the log names the voters."""
--- a/pollenfold/control/daemon.py
+++ b/pollenfold/control/daemon.py
@@ -18,8 +18,8 @@
 from ..wire.rpc import RpcClient, RpcServer
 from .leases import LeaseService
 from .operators import ListRequests, OperatorInterface
-from .requests import UnresolvedClaims
 from .state import ControlState
+from .unresolved_claims import UnresolvedClaims
 
 if TYPE_CHECKING:
     from ..settings import ControlSettings
--- a/pollenfold/control/feed_server.py
+++ b/pollenfold/control/feed_server.py
@@ -9,11 +9,11 @@
 
 from ..core.allowances import FleetSize
 from ..core.clock import Clock, Instant, add_ms
-from ..core.digests import differing
-from ..core.registry import Announcement, Known
+from ..core.digests import differing_announcements
+from ..core.registry import Announcement, EndpointRecord
 from ..observe.events import EventLog
 from ..wire.lines import encode_line, read_lines
-from .order_book import ClusterState, PeerView
+from .cluster_state import ClusterState, PeerView
 
 PUBLISH_INTERVAL_MS = 20.0
 KEEP_ALIVE_MS = 500.0
@@ -156,7 +156,7 @@
         )
         line = {
             "zone": self._zone,
-            "index": self._cluster_state.orders.index,
+            "index": self._cluster_state.replicated_state.index,
             "n_entries": self._n_entries(),
             "n_endpoints": len(self._live_endpoints()),
             "n_peers": self._peers.n_connected,
@@ -166,9 +166,13 @@
 
     def _state_for(self, line: dict[str, Any]) -> dict[str, Any]:
         """Return the replicated state without the parts the subscriber already has."""
-        orders = self._cluster_state.orders
+        replicated_state = self._cluster_state.replicated_state
         index, version = int(line.get("index", 0)), int(line.get("version", 0))
-        return orders.encode_since(index, version) if index else orders.encode()
+        return (
+            replicated_state.encode_since(index, version)
+            if index
+            else replicated_state.encode()
+        )
 
     def _set_wants_updates(self, subscriber: _Subscriber, wants_updates: bool) -> None:
         """Start or stop sending an entry updates on endpoints and other entries."""
@@ -191,10 +195,10 @@
         subscriber.enqueue(encode_line(line))
         self._flush(subscriber)
 
-    def _live_endpoints(self) -> list[Known]:
+    def _live_endpoints(self) -> list[EndpointRecord]:
         oldest = add_ms(self._clock(), -ANNOUNCEMENT_MAX_AGE_MS)
         return [
-            k for k in self._cluster_state.registry.all_known() if k.heard_at > oldest
+            k for k in self._cluster_state.registry.records() if k.received_at > oldest
         ]
 
     def _announcements(self, digests: object) -> list[tuple[list[object], float]]:
@@ -204,7 +208,9 @@
         """
         now = self._clock()
         known = {k.announcement.endpoint_id: k for k in self._live_endpoints()}
-        missing = differing((k.announcement for k in known.values()), digests)
+        missing = differing_announcements(
+            (k.announcement for k in known.values()), digests
+        )
         return [(a.encode(), now - known[a.endpoint_id].announced_at) for a in missing]
 
     def _entries(self) -> set[str]:
@@ -265,7 +271,7 @@
         is_sent_to_all = self._is_changed or bool(for_all) or is_all_due
         if is_sent_to_all:
             self._published_to_all_at = now
-        for_all["index"] = self._cluster_state.orders.index
+        for_all["index"] = self._cluster_state.replicated_state.index
         updates = {**for_all, **names, **self._pop_updates()}
         for_replicas, for_entries = updates, updates
         if is_refresh_due:
--- a/pollenfold/control/leases.py
+++ b/pollenfold/control/leases.py
@@ -85,7 +85,7 @@
             detail = f"got revision {request.acknowledged}, expected at most {revision}"
             return Failure(ErrorKind.BAD_REQUEST, detail)
         admits_new = directory.in_force_revision(revision, now) >= limit_revision
-        return directory.check(
+        return directory.check_lease(
             request.entry, request.holds_lease, max_entries, admits_new, now
         )
 
--- a/pollenfold/control/operators.py
+++ b/pollenfold/control/operators.py
@@ -13,7 +13,7 @@
 from expression import Result
 from loguru import logger
 
-from ..core.configuration import Answer, Change
+from ..core.configuration import Change, ChangeResult
 from ..core.errors import ErrorKind, Failure
 from ..core.records import FleetSpec, RecordKind, ServiceSpec
 from ..http.messages import Request, Response, error_response, json_response
@@ -101,7 +101,7 @@
         if parsed.is_error():
             return _error(parsed.error.kind, parsed.error.detail, change_id=change_id)
         record = parsed.ok
-        if change_id not in self._state.configuration.answers:
+        if change_id not in self._state.configuration.results:
             # A retry returns the first outcome even if other records changed since.
             problem = self._find_conflict(record, leadership)
             if problem is not None:
@@ -153,7 +153,7 @@
         return json_response(200, {"revision": revision, "records": records})
 
     def _get_change(self, leadership: Leadership, change_id: str) -> Response:
-        outcome = self._state.configuration.answers.get(change_id)
+        outcome = self._state.configuration.results.get(change_id)
         if outcome is None:
             detail = f"change {change_id} is not committed, or older than 4096 others"
             return error_response(ErrorKind.NOT_FOUND, detail)
@@ -219,7 +219,9 @@
             return error_response(ErrorKind.NOT_READY, "the leader is starting")
         return _error(ErrorKind.NOT_LEADER, "", leader=await self._leader_address())
 
-    def _log_change(self, outcome: Answer, record: ParsedRecord, peer: str) -> None:
+    def _log_change(
+        self, outcome: ChangeResult, record: ParsedRecord, peer: str
+    ) -> None:
         logger.info(
             "event=change change_id={} kind={} name={} version={} result={} "
             "revision={} peer={}",
@@ -240,7 +242,7 @@
     return response
 
 
-def _change_fields(outcome: Answer) -> dict[str, Any]:
+def _change_fields(outcome: ChangeResult) -> dict[str, Any]:
     fields: dict[str, Any] = {
         "change_id": outcome.change_id,
         "accepted": outcome.error is None,
@@ -252,7 +254,7 @@
     return fields
 
 
-def _change_response(outcome: Answer, record: ParsedRecord) -> Response:
+def _change_response(outcome: ChangeResult, record: ParsedRecord) -> Response:
     if outcome.error is not None:
         return _error(outcome.error, outcome.detail, change_id=outcome.change_id)
     fields = _change_fields(outcome)
--- a/pollenfold/control/replica.py
+++ b/pollenfold/control/replica.py
@@ -24,8 +24,8 @@
 )
 from ..core.agreement_members import (
     decode_members,
-    founding,
-    next_members,
+    founder_state,
+    next_membership_change,
     unwrap_snapshot,
     wrap_snapshot,
 )
@@ -163,7 +163,7 @@
 
     def last_leader_contact(self) -> Instant | None:
         """Return when a leader last made contact, at first the start time."""
-        return None if self._state is None else self._state.heard_at
+        return None if self._state is None else self._state.leader_contact_at
 
     def status(self) -> dict[str, Any]:
         """Return the status fields for operators."""
@@ -212,7 +212,9 @@
         """Propose the next membership change, if one is due."""
         if self._members is None or self._state is None:
             return
-        change = next_members(self._state, self._members.n_target, self._clock())
+        change = next_membership_change(
+            self._state, self._members.n_target, self._clock()
+        )
         if change is None:
             return
         proposal, reason = change
@@ -302,10 +304,10 @@
             return
         self._storage = storage
         members = self._members
-        is_new = storage.stored is None and storage.log.last_index == 0
+        is_new = storage.stored_state is None and storage.log.last_index == 0
         log = storage.log
         if members is not None and members.is_founder and is_new:
-            stored, log = founding(self._replica_id)
+            stored, log = founder_state(self._replica_id)
             for action in (stored, PersistLog(log)):
                 result = storage.persist(action)
                 if result.is_error():
@@ -317,7 +319,7 @@
             self._replica_ids,
             storage.identity.incarnation,
             storage.identity.is_blank and members is None,
-            storage.stored,
+            storage.stored_state,
             log,
             self._clock(),
             self._timeout_ms(),
--- a/pollenfold/control/state.py
+++ b/pollenfold/control/state.py
@@ -12,8 +12,8 @@
 from ..core.clock import Clock, Instant, add_ms
 from ..core.configuration import (
     DEFAULT_MAX_ENTRIES,
-    Answer,
     Change,
+    ChangeResult,
     ConfigurationState,
     apply_change,
     decode_change,
@@ -134,9 +134,9 @@
 
     async def submit(
         self, change: Change, timeout_ms: float
-    ) -> Result[Answer, ErrorKind]:
+    ) -> Result[ChangeResult, ErrorKind]:
         """Propose a change and return its outcome once it is committed."""
-        known = self.configuration.answers.get(change.change_id)
+        known = self.configuration.results.get(change.change_id)
         if known is not None:
             # For a retried change, apply_change returns the first outcome and changes
             # nothing.
@@ -150,7 +150,7 @@
                 return Error(ErrorKind.NO_QUORUM)
             await curio.sleep(TICK_MS / 1000)
         await self.notifier.notify()
-        if change.change_id not in self.configuration.answers:
+        if change.change_id not in self.configuration.results:
             return Error(ErrorKind.NO_QUORUM)
         return Ok(apply_change(self.configuration, change))
 
--- a/pollenfold/control/requests.py
+++ b/pollenfold/control/unresolved_claims.py
@@ -24,7 +24,7 @@
 
     async def get(self) -> Result[list[dict[str, Any]], Failure]:
         """Return at most ``MAX_REQUESTS`` claims, with their keys and ages in ms."""
-        claims = await self._client.unresolved(MAX_REQUESTS)
+        claims = await self._client.unresolved_claims(MAX_REQUESTS)
         return Ok(
             [
                 {
--- a/pollenfold/core/agreement.py
+++ b/pollenfold/core/agreement.py
@@ -97,7 +97,7 @@
         replica_id,
         tuple(sorted(replica_ids - {replica_id})),
         incarnation,
-        heard_at=leader_contact_at,
+        leader_contact_at=leader_contact_at,
         wake_at=now if is_blank else add_ms(now, timeout_ms),
         rejoin=Rejoin(now),
         is_blank=is_blank,
--- a/pollenfold/core/agreement_election.py
+++ b/pollenfold/core/agreement_election.py
@@ -127,7 +127,7 @@
 
 
 def _has_recent_leader(state: State, now: Instant) -> bool:
-    contact_at = state.heard_at
+    contact_at = state.leader_contact_at
     if state.role is Role.LEADER:
         contact_at = majority_contact_at(state, now)
     return now < add_ms(contact_at, ELECTION_TIMEOUT_MIN_MS)
--- a/pollenfold/core/agreement_members.py
+++ b/pollenfold/core/agreement_members.py
@@ -116,7 +116,7 @@
     )
 
 
-def next_members(
+def next_membership_change(
     state: State, n_target: int, now: Instant
 ) -> tuple[Propose, str] | None:
     """Return the next change of the voters and its reason, or None.
@@ -181,7 +181,7 @@
     return min(unresponsive)[1]
 
 
-def founding(replica_id: str) -> tuple[PersistState, Log]:
+def founder_state(replica_id: str) -> tuple[PersistState, Log]:
     """Return the initial state and log of the founder of a group, its only voter."""
     entry = Entry(1, 1, encode_members(frozenset({replica_id})))
     return PersistState(1, None, 0, ()), Log(entries=(entry,))
--- a/pollenfold/core/agreement_replication.py
+++ b/pollenfold/core/agreement_replication.py
@@ -217,7 +217,7 @@
     state, actions = become_follower(
         state, term, message.sender, add_ms(now, timeout_ms)
     )
-    return replace(state, heard_at=now), actions
+    return replace(state, leader_contact_at=now), actions
 
 
 def on_append_request(
--- a/pollenfold/core/agreement_state.py
+++ b/pollenfold/core/agreement_state.py
@@ -75,16 +75,16 @@
 
     With ``is_dynamic`` the voters are those that the log names; learners receive the
     log and don't vote. No vote is granted in a term up to ``vote_floor``.
-    ``heard_at`` is when a message from a leader was last received, or the start of
-    the replica: it may have acknowledged a leader just before a restart, and must not
-    vote for another one until the shortest election timeout has passed. ``wake_at``
-    is when the next tick is due.
+    ``leader_contact_at`` is when a message from a leader was last received, or the
+    start of the replica: it may have acknowledged a leader just before a restart, and
+    must not vote for another one until the shortest election timeout has passed.
+    ``wake_at`` is when the next tick is due.
     """
 
     replica_id: str
     peers: tuple[str, ...]
     incarnation: str
-    heard_at: Instant
+    leader_contact_at: Instant
     wake_at: Instant
     rejoin: Rejoin
     is_blank: bool
--- a/pollenfold/core/allowances.py
+++ b/pollenfold/core/allowances.py
@@ -85,7 +85,7 @@
         """Count one request of a caller for the service."""
         self._requests.add(now)
 
-    def take(self, n_entries: int, now: Instant) -> bool:
+    def try_acquire(self, n_entries: int, now: Instant) -> bool:
         """Count one extra send and return True, or return False above the share."""
         share = self._ratio * self._requests.get(now) + self._n_extra / n_entries
         if self._extra.get(now) + 1 > SAFETY_FACTOR * share:
--- a/pollenfold/core/claims.py
+++ b/pollenfold/core/claims.py
@@ -37,7 +37,7 @@
 
 from .errors import ErrorKind
 from .register import (
-    OPEN_BALLOT,
+    INITIAL_BALLOT,
     Accept,
     Ballot,
     Claim,
@@ -86,7 +86,7 @@
     """No majority responded. The claim may be stored: abandon it before refusing."""
 
 
-ClaimAnswer = Claimed | Completed | InProgress | InDoubt | Unavailable
+ClaimResult = Claimed | Completed | InProgress | InDoubt | Unavailable
 
 T = TypeVar("T")
 Decision = Callable[[Value, float], tuple[Value, T]]
@@ -112,7 +112,7 @@
 class Finish(Generic[T]):
     """The operation has ended with this result."""
 
-    answer: T
+    result: T
 
 
 Action = Send | Pause | Finish[T]
@@ -145,8 +145,8 @@
         self._message: Message | None = None
         self._phase = 0
         self._n_rounds = 0
-        self._highest: Ballot = OPEN_BALLOT
-        self._ballot: Ballot = OPEN_BALLOT
+        self._highest: Ballot = INITIAL_BALLOT
+        self._ballot: Ballot = INITIAL_BALLOT
         self._replies: dict[int, Reply] = {}
         self._failed: set[int] = set()
         self._epochs = (0,) * n_replicas
@@ -229,7 +229,7 @@
         promises = [(reply.register, reply.age_ms) for reply in granted]
         value = recover(promises, self._n_replicas)
         is_new_doubt = value.state is State.IN_DOUBT and all(
-            reply.register.accepted == OPEN_BALLOT for reply in granted
+            reply.register.accepted == INITIAL_BALLOT for reply in granted
         )
         if is_new_doubt and n_missing:
             # The missing replies often leave only one claim that can have a majority.
@@ -270,7 +270,7 @@
 
 def claim(
     n_replicas: int, proposer: str, claim_id: str, max_age_ms: float
-) -> Operation[ClaimAnswer]:
+) -> Operation[ClaimResult]:
     """Return the operation that claims a key.
 
     ``claim_id`` must be new for every call: a second ``Claimed`` for one id would
@@ -278,7 +278,7 @@
     least ``max_age_ms`` old results in ``InDoubt``.
     """
 
-    def decide(value: Value, age_ms: float) -> tuple[Value, ClaimAnswer]:
+    def decide(value: Value, age_ms: float) -> tuple[Value, ClaimResult]:
         remaining = withdraw(value, claim_id)
         if remaining.state in (State.EMPTY, State.ABANDONED):
             return Value(State.CLAIMED, (claim_id,)), Claimed()
@@ -289,7 +289,7 @@
             return remaining, InProgress()
         return remaining, InDoubt()
 
-    return Operation[ClaimAnswer](
+    return Operation[ClaimResult](
         n_replicas, proposer, decide, Unavailable(), Claim(claim_id), Claimed()
     )
 
--- a/pollenfold/core/configuration.py
+++ b/pollenfold/core/configuration.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ChangeResult:
     """The result of one change; ``error`` is None if the change was accepted.
 
     ``revision`` is the revision of the configuration after the change, and
@@ -77,7 +77,7 @@
 
     revision: int = 0
     records: dict[RecordKey, StoredRecord] = field(default_factory=dict)
-    answers: dict[str, Answer] = field(default_factory=dict)
+    results: dict[str, ChangeResult] = field(default_factory=dict)
 
 
 def encode_change(change: Change) -> bytes:
@@ -97,7 +97,7 @@
     return Change(command[_ID_LENGTH.size : end].decode(), command[end:])
 
 
-def apply_change(state: ConfigurationState, change: Change) -> Answer:
+def apply_change(state: ConfigurationState, change: Change) -> ChangeResult:
     """Apply one committed change and return its result.
 
     A change is accepted only when its version is the stored version plus one. A
@@ -105,29 +105,31 @@
     record the error is ``BAD_REQUEST``.
     """
     digest = xxhash.xxh3_64_intdigest(change.record)
-    first_result = state.answers.get(change.change_id)
+    first_result = state.results.get(change.change_id)
     if first_result is not None:
         if first_result.digest == digest:
             return first_result
         detail = f"change id {change.change_id} was used for another record"
-        return Answer(
+        return ChangeResult(
             change.change_id, state.revision, ErrorKind.BAD_REQUEST, detail, digest
         )
     result = _apply_new_change(state, change, digest)
-    state.answers[change.change_id] = result
-    while len(state.answers) > MAX_RESULTS:
-        del state.answers[next(iter(state.answers))]
+    state.results[change.change_id] = result
+    while len(state.results) > MAX_RESULTS:
+        del state.results[next(iter(state.results))]
     return result
 
 
-def _apply_new_change(state: ConfigurationState, change: Change, digest: int) -> Answer:
+def _apply_new_change(
+    state: ConfigurationState, change: Change, digest: int
+) -> ChangeResult:
     try:
         fields = json.loads(change.record)
         kind, name, version = fields["kind"], fields["name"], fields["version"]
     except (ValueError, KeyError, TypeError, RecursionError):
         kind = name = version = None
     if not (type(kind) is str and type(name) is str and type(version) is int):
-        return Answer(
+        return ChangeResult(
             change.change_id,
             state.revision,
             ErrorKind.BAD_RECORD,
@@ -138,7 +140,7 @@
     expected = 1 if stored is None else stored.version + 1
     if version != expected:
         detail = f"{kind} {name}: got version {version}, expected version {expected}"
-        return Answer(
+        return ChangeResult(
             change.change_id,
             state.revision,
             ErrorKind.VERSION_CONFLICT,
@@ -149,7 +151,7 @@
     state.records[kind, name] = StoredRecord(
         kind, name, version, state.revision, change.record
     )
-    return Answer(change.change_id, state.revision, None, "", digest)
+    return ChangeResult(change.change_id, state.revision, None, "", digest)
 
 
 def records_since(state: ConfigurationState, revision: int) -> list[StoredRecord]:
@@ -179,13 +181,13 @@
             ],
             "answers": [
                 [
-                    answer.change_id,
-                    answer.revision,
-                    answer.error.value if answer.error else None,
-                    answer.detail,
-                    answer.digest,
+                    result.change_id,
+                    result.revision,
+                    result.error.value if result.error else None,
+                    result.detail,
+                    result.digest,
                 ]
-                for answer in state.answers.values()
+                for result in state.results.values()
             ],
         },
         separators=(",", ":"),
@@ -202,7 +204,9 @@
         )
     for change_id, revision, error, detail, digest in fields["answers"]:
         kind = ErrorKind(error) if error else None
-        state.answers[change_id] = Answer(change_id, revision, kind, detail, digest)
+        state.results[change_id] = ChangeResult(
+            change_id, revision, kind, detail, digest
+        )
     return state
 
 
@@ -232,10 +236,10 @@
                 return service
         return None
 
-    def is_zone_in(self, name: str) -> bool:
+    def is_zone_in_service(self, name: str) -> bool:
         """Return whether the zone is in service; one without a record is."""
         zone = self.zones.get(name)
-        return zone is None or zone.is_in
+        return zone is None or zone.is_in_service
 
 
 def build_view(revision: int, specs: Iterable[Spec]) -> ConfigurationView:
--- a/pollenfold/core/digests.py
+++ b/pollenfold/core/digests.py
@@ -36,7 +36,7 @@
     return int(xxhash.xxh32_intdigest(text.encode()))
 
 
-def differing(
+def differing_announcements(
     announcements: Iterable[Announcement], digests: object
 ) -> list[Announcement]:
     """Return the announcements in the buckets whose digests differ from the peer's.
--- a/pollenfold/core/directory.py
+++ b/pollenfold/core/directory.py
@@ -151,7 +151,7 @@
             del self._leases[key]
         return bool(expired) and self._publish()
 
-    def check(
+    def check_lease(
         self,
         entry: LiveEntry,
         holds_lease: bool,
--- a/pollenfold/core/errors.py
+++ b/pollenfold/core/errors.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ErrorAnswer:
+class ErrorResponse:
     """The response to a caller or an operator for one error kind.
 
     ``retry_after_s`` is the delay in seconds before a retry, or None if a retry of
@@ -74,77 +74,77 @@
 _DID_NOT_RUN = RunState.DID_NOT_RUN
 _UNKNOWN = RunState.OUTCOME_UNKNOWN
 
-ERROR_TABLE: dict[ErrorKind, ErrorAnswer] = {
-    ErrorKind.BAD_REQUEST: ErrorAnswer(400, _DID_NOT_RUN, None, "malformed request"),
-    ErrorKind.HEAD_TOO_LARGE: ErrorAnswer(
+ERROR_TABLE: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(400, _DID_NOT_RUN, None, "malformed request"),
+    ErrorKind.HEAD_TOO_LARGE: ErrorResponse(
         431, _DID_NOT_RUN, None, "request head is too large"
     ),
-    ErrorKind.BODY_TOO_LARGE: ErrorAnswer(
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(
         413, _DID_NOT_RUN, None, "request body is too large"
     ),
-    ErrorKind.TRUNCATED_BODY: ErrorAnswer(
+    ErrorKind.TRUNCATED_BODY: ErrorResponse(
         400, _DID_NOT_RUN, None, "request body ended early"
     ),
-    ErrorKind.SLOW_REQUEST: ErrorAnswer(
+    ErrorKind.SLOW_REQUEST: ErrorResponse(
         408, _DID_NOT_RUN, None, "the request took too long to arrive"
     ),
-    ErrorKind.UNKNOWN_SERVICE: ErrorAnswer(
+    ErrorKind.UNKNOWN_SERVICE: ErrorResponse(
         404, _DID_NOT_RUN, None, "no service record matches the path"
     ),
-    ErrorKind.NO_ROUTE: ErrorAnswer(
+    ErrorKind.NO_ROUTE: ErrorResponse(
         404, _DID_NOT_RUN, None, "no route matches host and path"
     ),
-    ErrorKind.NOT_FOUND: ErrorAnswer(404, _DID_NOT_RUN, None, "no such resource"),
-    ErrorKind.UNAUTHORIZED: ErrorAnswer(
+    ErrorKind.NOT_FOUND: ErrorResponse(404, _DID_NOT_RUN, None, "no such resource"),
+    ErrorKind.UNAUTHORIZED: ErrorResponse(
         401, _DID_NOT_RUN, None, "missing or wrong token"
     ),
-    ErrorKind.BAD_RECORD: ErrorAnswer(422, _DID_NOT_RUN, None, "invalid record"),
-    ErrorKind.VERSION_CONFLICT: ErrorAnswer(
+    ErrorKind.BAD_RECORD: ErrorResponse(422, _DID_NOT_RUN, None, "invalid record"),
+    ErrorKind.VERSION_CONFLICT: ErrorResponse(
         409, _DID_NOT_RUN, None, "record version is not the stored version plus one"
     ),
-    ErrorKind.NO_LEASE: ErrorAnswer(
+    ErrorKind.NO_LEASE: ErrorResponse(
         503, _DID_NOT_RUN, 2, "this entry holds no configuration lease"
     ),
-    ErrorKind.STOPPING: ErrorAnswer(503, _DID_NOT_RUN, 1, "this entry is stopping"),
-    ErrorKind.QUEUE_FULL: ErrorAnswer(503, _DID_NOT_RUN, 1, "the queue is full"),
-    ErrorKind.DEADLINE_EXCEEDED: ErrorAnswer(
+    ErrorKind.STOPPING: ErrorResponse(503, _DID_NOT_RUN, 1, "this entry is stopping"),
+    ErrorKind.QUEUE_FULL: ErrorResponse(503, _DID_NOT_RUN, 1, "the queue is full"),
+    ErrorKind.DEADLINE_EXCEEDED: ErrorResponse(
         504, _DID_NOT_RUN, 1, "the deadline can't be met"
     ),
-    ErrorKind.NO_BACKEND_SERVER: ErrorAnswer(
+    ErrorKind.NO_BACKEND_SERVER: ErrorResponse(
         503, _DID_NOT_RUN, 1, "no backend server can take the request"
     ),
-    ErrorKind.BACKEND_REFUSED: ErrorAnswer(
+    ErrorKind.BACKEND_REFUSED: ErrorResponse(
         503, _DID_NOT_RUN, 1, "the backend servers did not start the request"
     ),
-    ErrorKind.BACKEND_FAILED: ErrorAnswer(
+    ErrorKind.BACKEND_FAILED: ErrorResponse(
         502, _UNKNOWN, 1, "the backend server failed before a whole answer"
     ),
-    ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(
         502, _UNKNOWN, None, "the request may have run; it is not run again"
     ),
-    ErrorKind.IN_PROGRESS: ErrorAnswer(
+    ErrorKind.IN_PROGRESS: ErrorResponse(
         409, _UNKNOWN, 1, "an earlier request with this key is in progress"
     ),
-    ErrorKind.LEDGER_UNAVAILABLE: ErrorAnswer(
+    ErrorKind.LEDGER_UNAVAILABLE: ErrorResponse(
         503, _DID_NOT_RUN, 1, "no majority of the ledger answers"
     ),
-    ErrorKind.NO_QUORUM: ErrorAnswer(
+    ErrorKind.NO_QUORUM: ErrorResponse(
         503, _UNKNOWN, 1, "no majority of the control replicas confirmed the change"
     ),
-    ErrorKind.NOT_LEADER: ErrorAnswer(
+    ErrorKind.NOT_LEADER: ErrorResponse(
         421, _DID_NOT_RUN, 1, "this control replica is not the leader"
     ),
-    ErrorKind.NOT_READY: ErrorAnswer(503, _DID_NOT_RUN, 1, "still starting"),
-    ErrorKind.FLEET_FULL: ErrorAnswer(
+    ErrorKind.NOT_READY: ErrorResponse(503, _DID_NOT_RUN, 1, "still starting"),
+    ErrorKind.FLEET_FULL: ErrorResponse(
         503, _DID_NOT_RUN, 2, "the fleet has its greatest number of entries"
     ),
-    ErrorKind.BAD_FRAME: ErrorAnswer(400, _DID_NOT_RUN, None, "malformed frame"),
-    ErrorKind.UNREACHABLE: ErrorAnswer(503, _UNKNOWN, 1, "no answer from the peer"),
-    ErrorKind.STORAGE_FAILED: ErrorAnswer(
+    ErrorKind.BAD_FRAME: ErrorResponse(400, _DID_NOT_RUN, None, "malformed frame"),
+    ErrorKind.UNREACHABLE: ErrorResponse(503, _UNKNOWN, 1, "no answer from the peer"),
+    ErrorKind.STORAGE_FAILED: ErrorResponse(
         503, _UNKNOWN, 1, "the data folder can't be written"
     ),
-    ErrorKind.BAD_SETTING: ErrorAnswer(400, _DID_NOT_RUN, None, "invalid setting"),
-    ErrorKind.INTERNAL_ERROR: ErrorAnswer(
+    ErrorKind.BAD_SETTING: ErrorResponse(400, _DID_NOT_RUN, None, "invalid setting"),
+    ErrorKind.INTERNAL_ERROR: ErrorResponse(
         500, _UNKNOWN, None, "an unexpected error ended the handling of the request"
     ),
 }
--- a/pollenfold/core/lease.py
+++ b/pollenfold/core/lease.py
@@ -23,7 +23,7 @@
         return self._revision
 
     @property
-    def since(self) -> Instant:
+    def started_at(self) -> Instant:
         """When the current lease, renewed without a gap, began."""
         return self._started_at
 
@@ -35,7 +35,7 @@
         """Return the time in milliseconds until the lease expires."""
         return 0.0 if self._expires_at is None else remaining_ms(self._expires_at, now)
 
-    def advance(self, revision: int) -> bool:
+    def advance_revision(self, revision: int) -> bool:
         """Record an applied revision; return False if it isn't newer."""
         if revision <= self._revision:
             return False
--- a/pollenfold/core/link.py
+++ b/pollenfold/core/link.py
@@ -12,7 +12,7 @@
 PACING_SHARE = 0.75
 """Share of the link rate for long bodies; the rest is kept for short messages."""
 
-SHORT_BYTES = 8 * 1024
+MAX_UNPACED_BYTES = 8 * 1024
 """Messages up to this length are written at once, without pacing."""
 
 PIECE_MS = 16.0
@@ -42,7 +42,7 @@
         """Return the transfer time of ``n_bytes`` on the link."""
         return n_bytes / self._bytes_per_ms if self._bytes_per_ms else 0.0
 
-    def note_received(self, n_bytes: int, since: Instant) -> None:
+    def record_received(self, n_bytes: int, since: Instant) -> None:
         """Record received bytes, the first of which arrived at ``since``.
 
         The end of a message can be read before the link is idle again.
@@ -50,7 +50,7 @@
         start = max(self._receive_busy_until, since)
         self._receive_busy_until = add_ms(start, self.transfer_ms(n_bytes))
 
-    def note_sent(self, n_bytes: int, now: Instant) -> None:
+    def record_sent(self, n_bytes: int, now: Instant) -> None:
         """Record bytes that were written."""
         start = max(self._send_busy_until, now)
         self._send_busy_until = add_ms(start, self.transfer_ms(n_bytes))
--- a/pollenfold/core/measurement.py
+++ b/pollenfold/core/measurement.py
@@ -49,14 +49,14 @@
         """Reserve one probe with ``MAX_PROBE_BYTES``, or return False."""
         if self._bytes.level(now) < MAX_PROBE_BYTES:
             return False
-        if not self._probes.try_take(1.0, now):
+        if not self._probes.try_acquire(1.0, now):
             return False
-        return self._bytes.try_take(MAX_PROBE_BYTES, now)
+        return self._bytes.try_acquire(MAX_PROBE_BYTES, now)
 
     def finish_probe(self, n_bytes: int, now: Instant) -> None:
         """Correct the reservation of a probe to the bytes that it used."""
         if n_bytes <= MAX_PROBE_BYTES:
-            self._bytes.give_back(MAX_PROBE_BYTES - n_bytes, now)
+            self._bytes.refund(MAX_PROBE_BYTES - n_bytes, now)
         else:
             self._bytes.charge(n_bytes - MAX_PROBE_BYTES, now)
 
@@ -69,7 +69,7 @@
         reserve = 0.0 if is_urgent else self._bytes.burst / 2
         if self._bytes.level(now) < reserve + REPORT_BYTES:
             return False
-        return self._bytes.try_take(REPORT_BYTES, now)
+        return self._bytes.try_acquire(REPORT_BYTES, now)
 
     def count_report(self, n_bytes: int, was_requested: bool, now: Instant) -> None:
         """Charge the bytes of a report that came on a response.
--- a/pollenfold/core/overload.py
+++ b/pollenfold/core/overload.py
@@ -16,7 +16,7 @@
 from .clock import Instant, add_ms
 from .selection import ServerLoad
 
-SPREAD_FACTOR = 1.15
+WORK_VARIATION_FACTOR = 1.15
 """Safety factor on the work estimate, since work varies between requests."""
 
 LATE_MAX_BUSY_SHARE = 0.67
@@ -83,7 +83,7 @@
         )
 
 
-class Verdict(Enum):
+class AdmissionDecision(Enum):
     """The admission decision for a request and the server selected for it."""
 
     SEND = "send"
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Prospect:
+class Placement:
     """A request with the best server that was found for it.
 
     ``load`` is None for a server that doesn't report its load.
@@ -109,26 +109,26 @@
 
 def acceptable_slowdown(work_ms: float, left_to_target_ms: float) -> float:
     """Return the greatest slowdown at which a request still meets its target."""
-    return left_to_target_ms / (SPREAD_FACTOR * max(work_ms, 1.0))
+    return left_to_target_ms / (WORK_VARIATION_FACTOR * max(work_ms, 1.0))
 
 
-def judge(placement: Prospect) -> Verdict:
+def decide_admission(placement: Placement) -> AdmissionDecision:
     """Decide whether a request is sent to the selected server."""
     load = placement.load
     if load is None:
-        return Verdict.SEND
+        return AdmissionDecision.SEND
     limit = acceptable_slowdown(placement.work_ms, placement.left_to_target_ms)
     if placement.slowdown <= limit:
-        return Verdict.SEND
+        return AdmissionDecision.SEND
     if placement.work_ms * placement.slowdown > placement.left_to_deadline_ms:
-        return Verdict.REFUSE
+        return AdmissionDecision.REFUSE
     n_busy = load.n_running + load.n_waiting + 1
     if n_busy <= LATE_MAX_BUSY_SHARE * load.n_slots:
-        return Verdict.SEND_LATE
-    return Verdict.REFUSE
+        return AdmissionDecision.SEND_LATE
+    return AdmissionDecision.REFUSE
 
 
-def quick_retry_after_ms(position: float) -> float:
+def short_retry_after_ms(position: float) -> float:
     """Return the retry delay after servers with spare capacity refused a request.
 
     Such a refusal is due to chance, and another attempt may still be in time.
--- a/pollenfold/core/records.py
+++ b/pollenfold/core/records.py
@@ -61,7 +61,7 @@
 
     name: str
     region: str
-    is_in: bool
+    is_in_service: bool
     version: int
 
 
--- a/pollenfold/core/register.py
+++ b/pollenfold/core/register.py
@@ -22,7 +22,7 @@
 Ballot = tuple[int, str]
 """Round number and proposer, compared in this order."""
 
-OPEN_BALLOT: Ballot = (0, "")
+INITIAL_BALLOT: Ballot = (0, "")
 """The ballot of a first claim, which needs no promise."""
 
 RETENTION_MS = 24 * 3600 * 1000.0
@@ -80,8 +80,8 @@
     was made, both by the wall clock of the replica.
     """
 
-    promised: Ballot = OPEN_BALLOT
-    accepted: Ballot = OPEN_BALLOT
+    promised: Ballot = INITIAL_BALLOT
+    accepted: Ballot = INITIAL_BALLOT
     value: Value = EMPTY
     is_vote_unknown: bool = False
     changed_at: Instant = Instant(0.0)
@@ -149,7 +149,7 @@
 ) -> tuple[Register, bool]:
     # A promise ends ballot 0 on this replica, even for the claim it voted for: a
     # recovery may already have read this replica as empty.
-    if register.promised != OPEN_BALLOT or register.is_vote_unknown:
+    if register.promised != INITIAL_BALLOT or register.is_vote_unknown:
         return register, False
     if register.value.state is State.EMPTY:
         value = Value(State.CLAIMED, (message.claim_id,))
@@ -186,11 +186,11 @@
     return register.value.state not in (State.CLAIMED, State.IN_DOUBT)
 
 
-Aged = tuple[Register, float]
+AgedRegister = tuple[Register, float]
 """A register and how long its value has been stored, in ms."""
 
 
-def merge_copies(copies: Sequence[Aged]) -> Register:
+def merge_copies(copies: Sequence[AgedRegister]) -> Register:
     """Rebuild the register of a replica that lost its disk from those of others.
 
     The result has the highest promise and the value of the highest ballot. If the
@@ -201,20 +201,20 @@
     newest = _highest_accepted(copies)
     promised = max(register.promised for register in registers)
     promised_at = max(register.promised_at for register in registers)
-    if newest.accepted > OPEN_BALLOT and not _is_expiring(copies):
+    if newest.accepted > INITIAL_BALLOT and not _is_expiring(copies):
         return replace(newest, promised=promised, promised_at=promised_at)
     claims = {r.value: r for r in registers if r.value.state is not State.EMPTY}
     is_unknown = len(claims) > 1 or any(r.is_vote_unknown for r in registers)
     if is_unknown or not claims:
         changed_at = max(register.changed_at for register in registers)
         return Register(
-            promised, OPEN_BALLOT, EMPTY, is_unknown, changed_at, promised_at
+            promised, INITIAL_BALLOT, EMPTY, is_unknown, changed_at, promised_at
         )
     (voted,) = claims.values()
     return replace(voted, promised=promised, promised_at=promised_at)
 
 
-def recover(promises: Sequence[Aged], n_replicas: int) -> Value:
+def recover(promises: Sequence[AgedRegister], n_replicas: int) -> Value:
     """Return the value that may have been chosen, from a majority of promises.
 
     The value of the highest ballot above 0 wins. At ballot 0 a claim may have been
@@ -224,7 +224,7 @@
     the result is in doubt.
     """
     newest = _highest_accepted(promises)
-    if newest.accepted > OPEN_BALLOT:
+    if newest.accepted > INITIAL_BALLOT:
         if _is_expiring(promises):
             claim_ids = {c for r, _ in promises for c in r.value.claim_ids}
             return Value(State.IN_DOUBT, tuple(sorted(claim_ids)), is_open=True)
@@ -247,11 +247,11 @@
     return Value(state, tuple(possible))
 
 
-def _highest_accepted(copies: Sequence[Aged]) -> Register:
+def _highest_accepted(copies: Sequence[AgedRegister]) -> Register:
     return max((register for register, _ in copies), key=lambda r: r.accepted)
 
 
-def _is_expiring(copies: Sequence[Aged]) -> bool:
+def _is_expiring(copies: Sequence[AgedRegister]) -> bool:
     """Return whether other replicas may already have dropped the newest value.
 
     Replicas drop a register at slightly different times. If one copy holds a value
--- a/pollenfold/core/registry.py
+++ b/pollenfold/core/registry.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from .clock import Instant
-from .orders import Orders
+from .replicated_state import ReplicatedState
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     sequence: int
 
     @property
-    def order(self) -> tuple[int, int]:
+    def sort_key(self) -> tuple[int, int]:
         """Return the sort key of the announcements of one id."""
         return self.born_ms, self.sequence
 
@@ -86,23 +86,23 @@
 
 
 @dataclass(slots=True)
-class Known:
+class EndpointRecord:
     """The newest announcement of an endpoint.
 
-    ``announced_at`` is when it was first received, and ``heard_at`` when it or a
+    ``announced_at`` is when it was first received, and ``received_at`` when it or a
     repetition of it was last received.
     """
 
     announcement: Announcement
     announced_at: Instant
-    heard_at: Instant
+    received_at: Instant
 
 
 class Registry:
     """The newest announcement of each endpoint."""
 
     def __init__(self) -> None:
-        self._records: dict[str, Known] = {}
+        self._records: dict[str, EndpointRecord] = {}
         self._by_address: dict[tuple[str, int], str] = {}
 
     def __len__(self) -> int:
@@ -113,10 +113,10 @@
 
     def get(self, endpoint_id: str) -> Announcement | None:
         """Return the newest announcement of an endpoint."""
-        known = self._records.get(endpoint_id)
-        return None if known is None else known.announcement
+        record = self._records.get(endpoint_id)
+        return None if record is None else record.announcement
 
-    def get_record(self, endpoint_id: str) -> Known | None:
+    def get_record(self, endpoint_id: str) -> EndpointRecord | None:
         """Return the newest announcement of an endpoint and its receive times."""
         return self._records.get(endpoint_id)
 
@@ -128,10 +128,10 @@
         of the earlier one must have been delayed.
         """
         endpoint_id = announcement.endpoint_id
-        known = self._records.get(endpoint_id)
-        if known is not None and announcement.order <= known.announcement.order:
-            if announcement.order == known.announcement.order:
-                known.heard_at = now
+        record = self._records.get(endpoint_id)
+        if record is not None and announcement.sort_key <= record.announcement.sort_key:
+            if announcement.sort_key == record.announcement.sort_key:
+                record.received_at = now
             return False
         address = (announcement.host, announcement.port)
         current_owner = self.get(self._by_address.get(address, ""))
@@ -139,41 +139,43 @@
             if current_owner.born_ms > announcement.born_ms:
                 return False
             self.remove(current_owner.endpoint_id)
-        if known is not None:
+        if record is not None:
             self.remove(endpoint_id)
-        self._records[endpoint_id] = Known(announcement, now, now)
+        self._records[endpoint_id] = EndpointRecord(announcement, now, now)
         self._by_address[address] = endpoint_id
-        return known is None or _has_update(known.announcement, announcement)
+        return record is None or _has_update(record.announcement, announcement)
 
-    def hear(self, endpoint_id: str, now: Instant) -> None:
+    def renew(self, endpoint_id: str, now: Instant) -> None:
         """Record that an endpoint repeated its newest announcement."""
-        known = self._records.get(endpoint_id)
-        if known is not None:
-            known.heard_at = now
+        record = self._records.get(endpoint_id)
+        if record is not None:
+            record.received_at = now
 
     def remove(self, endpoint_id: str) -> None:
         """Remove an endpoint."""
-        known = self._records.pop(endpoint_id, None)
-        if known is None:
+        record = self._records.pop(endpoint_id, None)
+        if record is None:
             return
-        address = (known.announcement.host, known.announcement.port)
+        address = (record.announcement.host, record.announcement.port)
         if self._by_address.get(address) == endpoint_id:
             del self._by_address[address]
 
     def expire(self, received_before: Instant) -> list[str]:
         """Remove endpoints with no announcement since an instant; return their ids."""
-        expired = [k for k, v in self._records.items() if v.heard_at < received_before]
+        expired = [
+            k for k, v in self._records.items() if v.received_at < received_before
+        ]
         for endpoint_id in expired:
             self.remove(endpoint_id)
         return expired
 
-    def all_known(self) -> Iterable[Known]:
+    def records(self) -> Iterable[EndpointRecord]:
         """Return the newest announcement of each endpoint and its receive times."""
         return self._records.values()
 
     def announcements(self) -> Iterable[Announcement]:
         """Return the newest announcement of each endpoint."""
-        return [known.announcement for known in self._records.values()]
+        return [record.announcement for record in self._records.values()]
 
 
 def _has_update(before: Announcement, after: Announcement) -> bool:
@@ -190,7 +192,7 @@
     )
 
 
-def may_get_work(announcement: Announcement, state: Orders) -> bool:
+def accepts_new_requests(announcement: Announcement, state: ReplicatedState) -> bool:
     """Return whether new requests may go to an endpoint, cold or warm."""
     return (
         not announcement.is_leaving
--- a/pollenfold/core/orders.py
+++ b/pollenfold/core/replicated_state.py
@@ -38,10 +38,10 @@
     born_ms: int
 
 
-Order = Configure | Evacuate | Depart
+Command = Configure | Evacuate | Depart
 
 
-def encode_order(command: Order) -> bytes:
+def encode_command(command: Command) -> bytes:
     """Return the command as the bytes of a log entry."""
     match command:
         case Configure(version, document):
@@ -53,7 +53,7 @@
     return json.dumps(fields, separators=(",", ":")).encode()
 
 
-def decode_order(command: bytes) -> Order:
+def decode_command(command: bytes) -> Command:
     """Decode a command; raise ValueError if the bytes are not a valid command."""
     try:
         match json.loads(command):
@@ -69,7 +69,7 @@
 
 
 @dataclass(slots=True)
-class Orders:
+class ReplicatedState:
     """The replicated state after applying the log entry ``index``.
 
     ``version`` 0 means that no configuration has been accepted yet. ``departures``
@@ -85,7 +85,7 @@
     departure_indices: dict[str, int] = field(default_factory=dict, compare=False)
     """The log index of each departure; for those read from a snapshot, its index."""
 
-    def apply(self, index: int, command: Order) -> bool:
+    def apply(self, index: int, command: Command) -> bool:
         """Apply a command; return whether it changed the state."""
         self.index = index
         match command:
@@ -148,7 +148,7 @@
             del fields["document"]
         return fields
 
-    def merged(self, fields: dict[str, Any]) -> Orders:
+    def merged(self, fields: dict[str, Any]) -> ReplicatedState:
         """Return the state after applying fields of ``encode`` or ``encode_since``.
 
         Raise KeyError or ValueError if the fields are malformed, or if this state
@@ -158,7 +158,7 @@
         if since > self.index:
             raise ValueError(f"update since index {since} for a state at {self.index}")
         base = {"document": self.document} if self._has_same_version(fields) else {}
-        state = decode_orders({**base, **fields})
+        state = decode_replicated_state({**base, **fields})
         if since:
             state.departures = {**self.departures, **state.departures}
             state._drop_oldest_departures()
@@ -168,8 +168,8 @@
         return int(fields["version"]) == self.version
 
 
-def decode_orders(fields: dict[str, Any]) -> Orders:
-    """Decode a replicated state encoded by ``Orders.encode``.
+def decode_replicated_state(fields: dict[str, Any]) -> ReplicatedState:
+    """Decode a replicated state encoded by ``ReplicatedState.encode``.
 
     Raise KeyError, ValueError or TypeError if the fields are malformed.
     """
@@ -177,7 +177,7 @@
     if not isinstance(fields["departures"], dict):
         raise ValueError(f"departures: got {fields['departures']!r}")
     departures = {str(k): int(v) for k, v in fields["departures"].items()}
-    return Orders(
+    return ReplicatedState(
         index,
         int(fields["version"]),
         str(fields["document"]),
--- a/pollenfold/core/retries.py
+++ b/pollenfold/core/retries.py
@@ -44,7 +44,7 @@
         self._n_permits -= 1.0
         return True
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Return a permit that was not used."""
         self._n_permits = min(self._burst, self._n_permits + 1.0)
 
--- a/pollenfold/core/routes.py
+++ b/pollenfold/core/routes.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class WeightedService:
     """A service that gets a share of a route's requests, by weight."""
 
     service: str
@@ -27,7 +27,7 @@
     name: str
     path_prefix: str
     is_idempotent: bool
-    parts: tuple[Part, ...]
+    weighted_services: tuple[WeightedService, ...]
     timeout_ms: float | None = None
     target_latency_ms: float = 1_000.0
     priority: int = 0
@@ -98,22 +98,22 @@
     """
 
     def __init__(self) -> None:
-        self._credits: dict[str, tuple[tuple[Part, ...], list[float]]] = {}
+        self._credits: dict[str, tuple[tuple[WeightedService, ...], list[float]]] = {}
 
     def next_service(self, route: Route) -> str:
         """Return the service for the next request of the route."""
-        if len(route.parts) == 1:
-            return route.parts[0].service
+        if len(route.weighted_services) == 1:
+            return route.weighted_services[0].service
         cached = self._credits.get(route.name)
-        if cached is None or cached[0] != route.parts:
-            cached = (route.parts, [0.0] * len(route.parts))
+        if cached is None or cached[0] != route.weighted_services:
+            cached = (route.weighted_services, [0.0] * len(route.weighted_services))
             self._credits[route.name] = cached
-        parts, credits = cached
-        for position, part in enumerate(parts):
-            credits[position] += part.weight
-        best = max(range(len(parts)), key=credits.__getitem__)
-        credits[best] -= sum(part.weight for part in parts)
-        return parts[best].service
+        weighted_services, credits = cached
+        for position, weighted in enumerate(weighted_services):
+            credits[position] += weighted.weight
+        best = max(range(len(weighted_services)), key=credits.__getitem__)
+        credits[best] -= sum(weighted.weight for weighted in weighted_services)
+        return weighted_services[best].service
 
     def retain(self, names: set[str]) -> None:
         """Remove the credits of routes that are not among ``names``."""
--- a/pollenfold/core/routing.py
+++ b/pollenfold/core/routing.py
@@ -48,7 +48,7 @@
     observed_at: Instant = Instant(-1e9)
 
     @property
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether this entry may send one more request to the endpoint."""
         return self.n_in_flight < self.limit
 
--- a/pollenfold/core/selection.py
+++ b/pollenfold/core/selection.py
@@ -18,7 +18,7 @@
 """Share of busy slots above which some servers slow down."""
 
 KNEE_FACTOR = 1.6
-QUICK_SLOWDOWN = 1.5
+EARLY_ACCEPT_SLOWDOWN = 1.5
 """A server with a lower expected slowdown is selected without probing others."""
 
 MIN_IDLE_ENDPOINTS = 3
@@ -105,7 +105,7 @@
         elapsed_ms = max(0.0, now - self._penalty_at)
         return float(self._penalty * 0.5 ** (elapsed_ms / PENALTY_HALF_LIFE_MS))
 
-    def fail(self, weight: float, now: Instant) -> None:
+    def add_penalty(self, weight: float, now: Instant) -> None:
         """Add ``weight`` to the penalty, up to ``MAX_PENALTY``."""
         self._penalty = min(MAX_PENALTY, self.penalty(now) + weight)
         self._penalty_at = now
@@ -133,25 +133,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Option:
+class EndpointCandidate:
     """A candidate endpoint for a request.
 
-    ``has_idle`` means that an open connection to it is idle.
+    ``has_idle_connection`` means that an open connection to it is idle.
     """
 
     endpoint_id: str
     is_local: bool
     health: EndpointHealth
-    has_idle: bool = False
+    has_idle_connection: bool = False
 
 
-def choose_round(
-    options: list[Option],
+def choose_probe_targets(
+    candidates: list[EndpointCandidate],
     n_wanted: int,
     is_local_only: bool,
     now: Instant,
     rng: random.Random,
-) -> list[Option]:
+) -> list[EndpointCandidate]:
     """Return the endpoints to probe next, at random among the eligible ones.
 
     Endpoints that recently failed or were slow rank last. All but one of the chosen
@@ -162,44 +162,58 @@
     and many endpoints would otherwise open a connection for nearly every request.
     Unreachable endpoints are probed only if there are no others.
     """
-    pool = [option for option in options if not option.health.is_unreachable(now)]
-    pool = pool or options
+    pool = [
+        candidate
+        for candidate in candidates
+        if not candidate.health.is_unreachable(now)
+    ]
+    pool = pool or candidates
     if is_local_only:
-        pool = [option for option in pool if option.is_local] or pool
+        pool = [candidate for candidate in pool if candidate.is_local] or pool
     if len(pool) <= n_wanted:
         return pool
-    idle = [o for o in pool if o.has_idle and not o.health.is_deprioritized(now)]
+    idle = [
+        c for c in pool if c.has_idle_connection and not c.health.is_deprioritized(now)
+    ]
     if len(idle) >= MIN_IDLE_ENDPOINTS and rng.random() >= NEW_CONNECTION_PROBABILITY:
         return rng.sample(idle, n_wanted)
     sample = rng.sample(pool, min(len(pool), 2 * n_wanted))
-    last = min(sample, key=lambda o: (o.health.is_deprioritized(now), o.has_idle))
+    last = min(
+        sample, key=lambda c: (c.health.is_deprioritized(now), c.has_idle_connection)
+    )
     sample.remove(last)
-    sample.sort(key=lambda o: (o.health.is_deprioritized(now), not o.has_idle))
+    sample.sort(
+        key=lambda c: (c.health.is_deprioritized(now), not c.has_idle_connection)
+    )
     return [*sample[: n_wanted - 1], last]
 
 
 def choose_without_reports(
-    options: list[Option], now: Instant, rng: random.Random
-) -> Option | None:
+    candidates: list[EndpointCandidate], now: Instant, rng: random.Random
+) -> EndpointCandidate | None:
     """Return the better of two random endpoints, based on this entry's observations.
 
     This is for services whose servers don't report their load, where a probe would
     occupy a slot.
     """
-    reachable = [option for option in options if not option.health.is_unreachable(now)]
-    pool = reachable or options
+    reachable = [
+        candidate
+        for candidate in candidates
+        if not candidate.health.is_unreachable(now)
+    ]
+    pool = reachable or candidates
     if not pool:
         return None
-    local = [option for option in pool if option.is_local]
+    local = [candidate for candidate in pool if candidate.is_local]
     if len(local) >= 2:
         pool = local
     pair = rng.sample(pool, min(2, len(pool)))
     return min(pair, key=_observed_cost(now))
 
 
-def _observed_cost(now: Instant) -> Callable[[Option], float]:
-    def cost(option: Option) -> float:
-        health = option.health
+def _observed_cost(now: Instant) -> Callable[[EndpointCandidate], float]:
+    def cost(candidate: EndpointCandidate) -> float:
+        health = candidate.health
         usual_ms = max(health.latency_ms, 1.0)
         return (health.n_in_flight + 1) * usual_ms * (1.0 + health.penalty(now))
 
--- a/pollenfold/core/token_bucket.py
+++ b/pollenfold/core/token_bucket.py
@@ -9,7 +9,7 @@
     """Allows ``rate_per_s`` tokens per second, and up to ``burst`` at once.
 
     ``charge`` removes tokens for usage that already took place and may leave a
-    negative level, which must be refilled before ``try_take`` succeeds again.
+    negative level, which must be refilled before ``try_acquire`` succeeds again.
     """
 
     __slots__ = ("rate_per_s", "burst", "_level", "_updated")
@@ -31,7 +31,7 @@
             self._updated = now
         return self._level
 
-    def try_take(self, amount: float, now: Instant) -> bool:
+    def try_acquire(self, amount: float, now: Instant) -> bool:
         """Remove ``amount`` tokens, or return False if fewer are available."""
         if self.level(now) < amount:
             return False
@@ -43,6 +43,6 @@
         self.level(now)
         self._level -= amount
 
-    def give_back(self, amount: float, now: Instant) -> None:
+    def refund(self, amount: float, now: Instant) -> None:
         """Return unused tokens to the bucket, up to the burst."""
         self._level = min(self.burst, self.level(now) + amount)
--- a/pollenfold/core/news_source.py
+++ b/pollenfold/core/update_source.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Source:
+class UpdateSource:
     """A control replica whose feed is open.
 
     ``is_partitioned`` means that for some time it has not been in contact with a
@@ -27,14 +27,16 @@
     is_partitioned: bool
 
 
-def choose_source(sources: Iterable[Source], entry_id: str, zone: str) -> str | None:
+def choose_update_source(
+    sources: Iterable[UpdateSource], entry_id: str, zone: str
+) -> str | None:
     """Return the host of the replica to receive updates from, or None without one.
 
     A partitioned replica misses updates, so it ranks last. Otherwise replicas in the
     entry's own zone rank first, and a hash spreads the entries over equal replicas.
     """
 
-    def rank(source: Source) -> tuple[bool, bool, int]:
+    def rank(source: UpdateSource) -> tuple[bool, bool, int]:
         digest = xxhash.xxh3_64_intdigest(f"{entry_id} {source.host}".encode())
         return source.is_partitioned, source.zone != zone, digest
 
--- a/pollenfold/core/warming.py
+++ b/pollenfold/core/warmup.py
@@ -169,9 +169,9 @@
     """Limits what this entry sends to each endpoint while it is cold.
 
     ``limit`` returns how many concurrent requests the entry may send to an endpoint,
-    and ``record`` must be called with the result of each request. ``observe`` should
-    be called with every new directory, so that none is missed between two calls of
-    ``limit``.
+    and ``record_result`` must be called with the result of each request.
+    ``observe_directory`` should be called with every new directory, so that none is
+    missed between two calls of ``limit``.
     """
 
     def __init__(self, entry_id: str, lease_ms: float) -> None:
@@ -203,7 +203,7 @@
             state = self._refresh(endpoint, service_spec, zone_version, directory)
         return state.limit if now >= state.ready_at else 0
 
-    def record(
+    def record_result(
         self,
         endpoint: Endpoint,
         service_spec: ServiceSpec,
@@ -230,7 +230,7 @@
             return None
         return self._record_ramp(state, latency_ms, was_shed, reported_cold)
 
-    def observe(self, directory: Directory) -> None:
+    def observe_directory(self, directory: Directory) -> None:
         """Add a new directory to the ownership history."""
         self._history.observe(directory)
 
@@ -257,7 +257,7 @@
             endpoint.incarnation == before.incarnation
             and endpoint.warm.merge_key() < before.warm.merge_key()
         ):
-            # The table has not merged a change of ``record`` yet.
+            # The table has not merged a change of ``record_result`` yet.
             endpoint = before
         self._by_id.pop(id(before), None)
         is_same = _is_same_warm_up(endpoint, before)
--- a/pollenfold/entry/attempts.py
+++ b/pollenfold/entry/attempts.py
@@ -11,7 +11,7 @@
 from ..http.client import ExchangeFailure, HttpConnection
 from ..http.messages import HOP_HEADERS, Headers, Request, Response, find_header
 from ..http.pool import Pool
-from ..http.readiness import is_closed_by_peer
+from ..http.socket_state import is_closed_by_peer
 from .backends import Backend
 
 CONNECT_TIMEOUT_MS = 250.0
@@ -174,11 +174,11 @@
     async def wait(self, timeout_ms: float) -> AttemptResult | None:
         """Wait for the response; return None after ``timeout_ms`` without one."""
         assert self._connection is not None
-        response = await self._connection.wait(timeout_ms)
+        response = await self._connection.receive_response(timeout_ms)
         if isinstance(response, Response):
             echoed = find_header(response.headers, EXCHANGE_ID)
             if echoed not in (None, b"%d" % self._connection.n_exchanges):
-                self._connection.reusable = False
+                self._connection.is_reusable = False
                 return AttemptResult(AttemptOutcome.LOST)
             return AttemptResult(classify_response(response), response)
         if response is ExchangeFailure.TIMEOUT:
--- a/pollenfold/entry/configuration.py
+++ b/pollenfold/entry/configuration.py
@@ -20,7 +20,7 @@
     decode_request,
     encode_response,
 )
-from .route import Address, ControlRoute
+from .control_route import Address, ControlRoute
 from .state import Directory, EntryState
 
 POLL_WAIT_MS = 400.0
@@ -97,7 +97,7 @@
 
     def lease_since(self) -> Instant:
         """Return when the current uninterrupted lease began."""
-        return self._state.lease.since
+        return self._state.lease.started_at
 
     def directory(self) -> Directory:
         """Return the live entries, their revision and when it was first seen."""
--- a/pollenfold/entry/daemon.py
+++ b/pollenfold/entry/daemon.py
@@ -14,21 +14,21 @@
 from ..core.directory import LEASE_MS
 from ..core.errors import ErrorKind
 from ..core.membership import Endpoint, EndpointTable, LeaveNotice
-from ..core.warming import Directory, WarmChange
+from ..core.warmup import Directory, WarmChange
 from ..http.server import HttpServer
 from ..ledger.client import LedgerClient
 from ..observe.clock import system_clock
 from ..observe.histograms import Histograms
-from ..observe.metrics import MetricsSender
 from ..observe.signals import wait_for_stop
+from ..observe.statsd_sender import MetricsSender
 from ..wire.frames import Protocol
 from ..wire.rpc import RpcServer
-from .actions import ActionRunner
 from .announcements import AnnouncementHandler
 from .configuration import ConfigurationClient, EntryAddresses
 from .forwarding import Forwarder
 from .gossip import Gossip
 from .health import EndpointHealth
+from .non_idempotent import NonIdempotentRunner
 from .peers import PeerClients
 from .platform import PlatformInterface
 from .probes import Prober, ProbeResult, ProbeTarget
@@ -96,7 +96,7 @@
         ledger = LedgerClient(
             dict(settings.ledger), process_id, system_clock, LEDGER_CALL_TIMEOUT_MS
         )
-        self.actions = ActionRunner(ledger, process_id, system_clock)
+        self.actions = NonIdempotentRunner(ledger, process_id, system_clock)
         self.proxy = Proxy(
             self.services,
             self.actions,
--- a/pollenfold/entry/health.py
+++ b/pollenfold/entry/health.py
@@ -8,7 +8,7 @@
 from ..core.measurement import LoadReport, MeasurementBudget, parse_load_header
 from ..core.outliers import OutlierDetector
 from ..core.retries import AttemptOutcome
-from ..core.warming import (
+from ..core.warmup import (
     Directory,
     WarmChange,
     WarmupController,
@@ -60,7 +60,7 @@
         self, spec: ServiceSpec, endpoint: Endpoint, view: ConfigurationView
     ) -> int:
         """Return this entry's current concurrency limit at the endpoint."""
-        if not view.is_zone_in(endpoint.zone) or endpoint.name in view.drained:
+        if not view.is_zone_in_service(endpoint.zone) or endpoint.name in view.drained:
             return 0
         now = self._clock()
         if self._detector(endpoint.service).is_ejected(endpoint.key, now):
@@ -71,7 +71,7 @@
 
     def warmup_owner(self, endpoint: Endpoint, view: ConfigurationView) -> str | None:
         """Return the entry that may send to a cold endpoint; None if none is needed."""
-        if not view.is_zone_in(endpoint.zone) or endpoint.name in view.drained:
+        if not view.is_zone_in_service(endpoint.zone) or endpoint.name in view.drained:
             return None
         is_current = endpoint.warm.zone_version == zone_version(view, endpoint.zone)
         if endpoint.warm.is_warm and is_current:
@@ -153,7 +153,7 @@
         if backend.candidate.is_warming and is_success and not was_requested:
             # Without a report the server may still be cold, so the ramp is paused.
             return report
-        change = self._warmup.record(
+        change = self._warmup.record_result(
             endpoint,
             spec,
             latency_ms,
--- a/pollenfold/entry/hedges.py
+++ b/pollenfold/entry/hedges.py
@@ -50,7 +50,7 @@
         result, response = await _first_response(runtime, attempt, second, exchange)
         return response
     finally:
-        await runtime.finish(attempt, result)
+        await runtime.finish_attempt(attempt, result)
 
 
 def _second_attempt(
@@ -60,7 +60,7 @@
     if candidate is None:
         return None
     tried.add(candidate.key)
-    return runtime.begin(candidate)
+    return runtime.start_attempt(candidate)
 
 
 async def _first_response(
@@ -100,4 +100,4 @@
             result = await attempt.wait_until(exchange, exchange.deadline, True)
         return result or AttemptResult(AttemptOutcome.EXPIRED)
     finally:
-        await runtime.finish(attempt, result)
+        await runtime.finish_attempt(attempt, result)
--- a/pollenfold/entry/actions.py
+++ b/pollenfold/entry/non_idempotent.py
@@ -19,7 +19,7 @@
 from .refusal import Refusal
 
 if TYPE_CHECKING:
-    from ..core.claims import ClaimAnswer
+    from ..core.claims import ClaimResult
     from ..core.records import ServiceSpec
 
 MAX_STORED_BODY_BYTES = 64 * 1024
@@ -40,7 +40,7 @@
 Dispatch = Callable[[], Awaitable["Response | Refusal"]]
 
 
-class ActionRunner:
+class NonIdempotentRunner:
     """Claims, dispatches and stores the outcome of non-idempotent requests.
 
     ``n_storing`` counts outcomes that are still being stored; a planned shutdown waits
@@ -98,7 +98,7 @@
 
     async def _claim(
         self, register: str, spec: ServiceSpec, deadline: Instant
-    ) -> tuple[ClaimAnswer, str]:
+    ) -> tuple[ClaimResult, str]:
         """Send a claim to the ledger; return its result and the claim's id.
 
         If another request holds the key, wait briefly for the outcome of that request,
@@ -108,7 +108,7 @@
         while True:
             claim_id = f"{self._entry_id}/{secrets.token_hex(8)}"
             left_ms = remaining_ms(deadline, self._clock())
-            claim: ClaimAnswer = Unavailable()
+            claim: ClaimResult = Unavailable()
             async with curio.ignore_after(left_ms / 1000):
                 claim = await self._ledger.claim(register, claim_id, spec.timeout_ms)
             if not isinstance(claim, InProgress):
--- a/pollenfold/entry/probes.py
+++ b/pollenfold/entry/probes.py
@@ -206,7 +206,7 @@
     async def _release_connection(
         self, endpoint: Endpoint, sock: CountingSocket, connection: HttpConnection
     ) -> None:
-        if connection.reusable and endpoint.name not in self._connections:
+        if connection.is_reusable and endpoint.name not in self._connections:
             self._connections[endpoint.name] = (sock, connection)
         else:
             await connection.close()
--- a/pollenfold/entry/proxy.py
+++ b/pollenfold/entry/proxy.py
@@ -12,7 +12,6 @@
 from ..core.records import RequestClass, ServiceSpec, classify
 from ..core.retries import may_retry
 from ..http.messages import Request, Response, find_header
-from .actions import ActionRunner
 from .attempts import (
     CANCEL_CHECK_MS,
     TIMEOUT_HEADER,
@@ -26,6 +25,7 @@
 )
 from .forwarding import Forwarder, RequestLostError, is_forwarded
 from .hedges import run_hedged_attempt
+from .non_idempotent import NonIdempotentRunner
 from .refusal import Refusal
 
 if TYPE_CHECKING:
@@ -55,7 +55,7 @@
     def __init__(
         self,
         services: ServiceTable,
-        actions: ActionRunner,
+        actions: NonIdempotentRunner,
         forwarder: Forwarder,
         has_lease: Callable[[], bool],
         clock: Clock,
@@ -228,12 +228,12 @@
             ):
                 await runtime.slots.release(candidate, None)
                 raise CallerGone
-            attempt = runtime.begin(candidate)
+            attempt = runtime.start_attempt(candidate)
             result = await run_hedged_attempt(
                 runtime, attempt, exchange, tried, has_lease
             )
         else:
-            attempt = runtime.begin(candidate)
+            attempt = runtime.start_attempt(candidate)
             result = await _attempt_once(runtime, attempt, exchange)
         last = result if last is None else combine_results(last, result)
         if last.outcome is AttemptOutcome.RESPONDED:
@@ -264,7 +264,7 @@
         if result is None:
             result = AttemptResult(AttemptOutcome.EXPIRED)
     finally:
-        await runtime.finish(attempt, result)
+        await runtime.finish_attempt(attempt, result)
     return result
 
 
--- a/pollenfold/entry/services.py
+++ b/pollenfold/entry/services.py
@@ -72,7 +72,7 @@
         """Return how long an attempt may take before it is hedged."""
         return max(MIN_HEDGE_DELAY_MS, self._latency.value_ms)
 
-    def begin(self, candidate: Candidate) -> Attempt:
+    def start_attempt(self, candidate: Candidate) -> Attempt:
         """Return an attempt at the endpoint whose slot was acquired."""
         backend = self.backends[candidate.key]
         self._health.start(backend.endpoint)
@@ -86,10 +86,12 @@
             return None
         candidate = self.slots.try_acquire(tried)
         if candidate is None:
-            self._hedge_budget.give_back()
+            self._hedge_budget.refund()
         return candidate
 
-    async def finish(self, attempt: Attempt, result: AttemptResult | None) -> None:
+    async def finish_attempt(
+        self, attempt: Attempt, result: AttemptResult | None
+    ) -> None:
         """End an attempt: record its result, and release its connection and slot.
 
         ``result`` is None for an attempt that was cancelled; its duration until then is
--- a/pollenfold/entry/slots.py
+++ b/pollenfold/entry/slots.py
@@ -90,7 +90,7 @@
         """Return why a request would be refused now, or None if admitted."""
         if not self._candidates:
             return ErrorKind.NO_BACKEND_SERVER
-        if not self._waiters and any(c.has_room for c in self._candidates):
+        if not self._waiters and any(c.has_capacity for c in self._candidates):
             return None
         admitted = self._admit(deadline)
         return admitted.error if admitted.is_error() else None
--- a/pollenfold/entry/state.py
+++ b/pollenfold/entry/state.py
@@ -140,7 +140,7 @@
         # A record that can't be parsed keeps its previous spec, and its revision is not
         # acknowledged, so that operators see that it is not in force on this entry.
         acknowledged = min([self._cursor + 1, *self._unreadable.values()]) - 1
-        self.lease.advance(acknowledged)
+        self.lease.advance_revision(acknowledged)
         return True
 
     def _apply_record(self, revision: int, data: bytes) -> None:
--- a/pollenfold/gateway/backend.py
+++ b/pollenfold/gateway/backend.py
@@ -19,11 +19,11 @@
 
 from ..core.clock import Instant, add_ms, remaining_ms
 from ..core.errors import ErrorKind
-from ..core.link import SHORT_BYTES, Link
+from ..core.link import MAX_UNPACED_BYTES, Link
 from ..http.messages import BodyError, BodySource, Response, find_header
-from ..http.readiness import is_readable
+from ..http.socket_state import is_readable
 from ..observe.clock import system_clock
-from .outgoing import OutgoingRequest, ReadRest
+from .outgoing import OutgoingRequest, ReadRemainingBody
 
 READ_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 64 * 1024
@@ -74,7 +74,7 @@
         "_has_skipped_response",
         "_n_consecutive_reads",
         "_link",
-        "is_clean",
+        "is_reusable",
         "last_used_at",
         "n_exchanges",
     )
@@ -100,11 +100,11 @@
         self._has_skipped_response = False
         self._n_consecutive_reads = 0
         self._link = link
-        self.is_clean = True
+        self.is_reusable = True
         self.last_used_at = Instant(0.0)
         self.n_exchanges = 0
 
-    async def connected(self) -> None:
+    async def wait_until_connected(self) -> None:
         """Wait until the connection is open; raise OSError if it can't be opened."""
         if self._is_connected:
             return
@@ -128,7 +128,7 @@
 
     async def close(self) -> None:
         """Close the connection, which also cancels any request in flight."""
-        self.is_clean = False
+        self.is_reusable = False
         await self._sock.close()
 
     async def send(
@@ -146,14 +146,14 @@
         not sent, and the connection carries no further request.
         Raise OSError if the connection failed after the first byte.
         """
-        self.is_clean = False
+        self.is_reusable = False
         self._is_request_written = True
         self.n_exchanges += 1
         self._request = request
         parser = self._parser = _new_parser()
         parts = [part for part in request.encode(parser) if part]
         for position, data in enumerate(parts):
-            is_last = request.read_rest is None and position == len(parts) - 1
+            is_last = request.read_remaining_body is None and position == len(parts) - 1
             n_sent, n_bytes = await self._write(
                 data, before_final_piece if is_last else None
             )
@@ -162,8 +162,8 @@
             self._is_request_written = n_sent == n_bytes
             if not self._is_request_written:
                 return True
-        while request.read_rest is not None and self._is_request_written:
-            piece = await self._next_piece(request.read_rest)
+        while request.read_remaining_body is not None and self._is_request_written:
+            piece = await self._next_piece(request.read_remaining_body)
             if piece is None:
                 self._is_request_written = False
                 break
@@ -185,7 +185,7 @@
         """
         view = memoryview(data)
         n_sent = 0
-        piece_bytes = self._link.piece_bytes if len(data) > SHORT_BYTES else 0
+        piece_bytes = self._link.piece_bytes if len(data) > MAX_UNPACED_BYTES else 0
         n_permitted = 0 if piece_bytes else len(data)
         while n_sent < len(data):
             if n_sent == n_permitted:
@@ -197,7 +197,7 @@
             try:
                 n_written = self._raw.send(view[n_sent:n_permitted])
                 n_sent += n_written
-                self._link.note_sent(n_written, system_clock())
+                self._link.record_sent(n_written, system_clock())
             except (BlockingIOError, InterruptedError):
                 if self.has_input():
                     break
@@ -223,12 +223,12 @@
             await curio.sleep(min(left_ms, SEND_CHECK_INTERVAL_MS) / 1000)
         return False
 
-    async def _next_piece(self, read_rest: ReadRest) -> bytes | None:
+    async def _next_piece(self, read_remaining_body: ReadRemainingBody) -> bytes | None:
         """Return the next piece of the body, or None if the server responds first."""
         while not self.has_input():
             try:
                 async with curio.timeout_after(BODY_CHECK_INTERVAL_MS / 1000):
-                    return await read_rest()
+                    return await read_remaining_body()
             except curio.TaskTimeout:
                 continue
         return None
@@ -252,10 +252,10 @@
                 return response
             if is_expected(response):
                 return response
-            if response.rest is not None:
+            if response.remaining_body is not None:
                 return Failure.LOST
             surplus = parser.trailing_data[0]
-            if not self.is_clean and not surplus:
+            if not self.is_reusable and not surplus:
                 return Failure.LOST
             self._has_skipped_response = True
             parser = _new_parser()
@@ -281,12 +281,14 @@
             return Failure.LOST
         headers = list(head.headers)
         length = find_header(headers, b"content-length")
-        rest = BodySource(
-            partial(self._read_rest, parser, head),
+        remaining_body = BodySource(
+            partial(self._read_remaining_body, parser, head),
             self.close,
             None if length is None else int(length),
         )
-        return Response(head.status_code, headers, b"".join(body), rest=rest)
+        return Response(
+            head.status_code, headers, b"".join(body), remaining_body=remaining_body
+        )
 
     async def _read_head(self, parser: h11.Connection) -> h11.Response:
         """Return the head; raise OSError if the connection ends before it."""
@@ -315,7 +317,9 @@
             else:
                 raise ConnectionAbortedError("the response ended early")
 
-    async def _read_rest(self, parser: h11.Connection, head: h11.Response) -> bytes:
+    async def _read_remaining_body(
+        self, parser: h11.Connection, head: h11.Response
+    ) -> bytes:
         try:
             return await self._read_piece(parser, head)
         except (OSError, h11.RemoteProtocolError) as error:
@@ -354,4 +358,6 @@
             and head.http_version == b"1.1"
         )
         is_complete = self._is_request_written and not parser.trailing_data[0]
-        self.is_clean = is_persistent and is_complete and not self._has_skipped_response
+        self.is_reusable = (
+            is_persistent and is_complete and not self._has_skipped_response
+        )
--- a/pollenfold/gateway/balancer.py
+++ b/pollenfold/gateway/balancer.py
@@ -11,16 +11,16 @@
 from ..core.clock import Clock, Instant, add_ms, remaining_ms
 from ..core.link import Link
 from ..core.selection import (
-    QUICK_SLOWDOWN,
-    Option,
+    EARLY_ACCEPT_SLOWDOWN,
+    EndpointCandidate,
     ServerLoad,
-    choose_round,
+    choose_probe_targets,
     choose_without_reports,
 )
 from ..core.token_bucket import TokenBucket
 from ..observe.exposition import Metrics
 from .backend import BackendConnection
-from .cold import ColdPermits
+from .cold_permits import ColdPermits
 from .connections import Connections
 from .dialect import Dialect
 from .probes import Prober, ProbeResult, ServiceProbeState
@@ -125,7 +125,7 @@
             endpoint
             for endpoint in self._view.by_service.get(service, ())
             if endpoint.announcement.endpoint_id not in tried_endpoint_ids
-            and not endpoint.is_resting(now)
+            and not endpoint.is_backing_off(now)
         ]
         if not endpoints:
             return None
@@ -141,7 +141,7 @@
 
     def _acquire_probes(self, n_probes: int, now: Instant) -> bool:
         budget = self._probe_budget
-        return budget is not None and budget.try_take(n_probes, now)
+        return budget is not None and budget.try_acquire(n_probes, now)
 
     def _update_probe_budget(self, now: Instant) -> None:
         """Adjust the probe budget to the current numbers of endpoints and entries."""
@@ -175,7 +175,7 @@
             # Probes to other zones cost traffic between zones.
             is_local_only = n_round < MAX_ROUNDS - 1
             await self._probe_round(search, candidates, n_wanted, is_local_only)
-            if search.best is not None and search.best.cost < QUICK_SLOWDOWN:
+            if search.best is not None and search.best.cost < EARLY_ACCEPT_SLOWDOWN:
                 break
         return None if search.best is None else await self._accept(search, search.best)
 
@@ -192,7 +192,7 @@
             endpoint
             for endpoint in search.endpoints
             if endpoint.announcement.endpoint_id not in search.probed_ids
-            and not endpoint.is_resting(now)
+            and not endpoint.is_backing_off(now)
         ]
         preferred = [
             endpoint
@@ -218,12 +218,14 @@
     ) -> None:
         """Probe some of the endpoints and update the best result so far."""
         by_id = {e.announcement.endpoint_id: e for e in candidates}
-        options = [self._option(endpoint) for endpoint in candidates]
-        chosen = choose_round(
-            options, n_wanted, is_local_only, self._clock(), self._rng
+        endpoint_candidates = [
+            self._endpoint_candidate(endpoint) for endpoint in candidates
+        ]
+        chosen = choose_probe_targets(
+            endpoint_candidates, n_wanted, is_local_only, self._clock(), self._rng
         )
-        search.probed_ids.update(option.endpoint_id for option in chosen)
-        endpoints = [by_id[option.endpoint_id] for option in chosen]
+        search.probed_ids.update(candidate.endpoint_id for candidate in chosen)
+        endpoints = [by_id[candidate.endpoint_id] for candidate in chosen]
         uses_longest_wait = search.best is None and search.n_rounds > 0
         search.n_rounds += 1
         results = await self._prober.probe(
@@ -239,7 +241,7 @@
         search.probe_state.last_search_at = self._clock()
         is_permitted = not best.is_cold or self._cold_permits.acquire(best.endpoint)
         # The endpoint may have started to leave while it was probed.
-        if not is_permitted or not self._view.may_get_work(best.endpoint):
+        if not is_permitted or not self._view.accepts_new_requests(best.endpoint):
             await self._connections.release(best.endpoint, best.connection)
             return None
         return Pick(best.endpoint, best.connection, best.slowdown, best.load)
@@ -263,11 +265,13 @@
             return False
         return state.least_slowdown > max(search.max_slowdown, OVERLOADED_SLOWDOWN)
 
-    def _option(self, endpoint: Endpoint) -> Option:
+    def _endpoint_candidate(self, endpoint: Endpoint) -> EndpointCandidate:
         announcement = endpoint.announcement
         is_local = announcement.zone == self._settings.zone
         has_idle = self._connections.has_idle(announcement.endpoint_id)
-        return Option(announcement.endpoint_id, is_local, endpoint.health, has_idle)
+        return EndpointCandidate(
+            announcement.endpoint_id, is_local, endpoint.health, has_idle
+        )
 
     async def _keep_best(
         self, best: ProbeResult | None, results: list[ProbeResult]
@@ -290,13 +294,15 @@
         for _ in range(MAX_ROUNDS):
             now = self._clock()
             warm = [e for e in remaining if not e.is_cold(now)]
-            option = choose_without_reports(
-                [self._option(e) for e in warm or remaining], now, self._rng
+            candidate = choose_without_reports(
+                [self._endpoint_candidate(e) for e in warm or remaining], now, self._rng
             )
-            if option is None:
+            if candidate is None:
                 return None
             endpoint = next(
-                e for e in remaining if e.announcement.endpoint_id == option.endpoint_id
+                e
+                for e in remaining
+                if e.announcement.endpoint_id == candidate.endpoint_id
             )
             remaining.remove(endpoint)
             if endpoint.is_cold(now) and not self._cold_permits.acquire(endpoint):
@@ -305,7 +311,7 @@
             if connection is None:
                 continue
             # The endpoint may have started to leave while the connection was opened.
-            if self._view.may_get_work(endpoint):
+            if self._view.accepts_new_requests(endpoint):
                 return Pick(endpoint, connection, 1.0)
             await self._connections.release(endpoint, connection)
         return None
@@ -326,21 +332,23 @@
         while (now := self._clock()) < until and self._acquire_probes(1, now):
             results = await self._prober.probe(service, state, [endpoint], False)
             for result in results:
-                await self.give_back(result.endpoint, result.connection)
-            if not results or results[0].slowdown < QUICK_SLOWDOWN or is_cancelled():
+                await self.release(result.endpoint, result.connection)
+            if (
+                not results
+                or results[0].slowdown < EARLY_ACCEPT_SLOWDOWN
+                or is_cancelled()
+            ):
                 return
             await curio.sleep(SLOW_ENDPOINT_PROBE_INTERVAL_MS / 1000)
 
-    async def give_back(
-        self, endpoint: Endpoint, connection: BackendConnection
-    ) -> None:
+    async def release(self, endpoint: Endpoint, connection: BackendConnection) -> None:
         """Return a connection to the pool of its endpoint, or close it."""
         await self._connections.release(endpoint, connection)
 
-    async def run(self) -> None:
+    async def run_maintenance(self) -> None:
         """Periodically close idle connections and drop state of removed endpoints."""
         while True:
             await curio.sleep(1.0)
-            await self._connections.close_old()
+            await self._connections.close_idle()
             self._prober.forget_absent()
             self._cold_permits.forget_absent()
--- a/pollenfold/gateway/calls.py
+++ b/pollenfold/gateway/calls.py
@@ -56,7 +56,7 @@
     sent_at: Instant = Instant(0.0)
     """When the last attempt finished sending the request."""
 
-    back_off_ms: float | None = None
+    backoff_ms: float | None = None
     """The time until the first endpoint's back-off ends, if all are backing off."""
 
     is_body_streamed: bool = False
@@ -98,7 +98,7 @@
         self._version = 0
         self._split = WeightedSplit()
         self._caller_ages: dict[str, CallerAge] = {}
-        self._works: dict[str, WorkEstimate] = {}
+        self._work_estimates: dict[str, WorkEstimate] = {}
         self._retry_allowances: dict[str, RetryAllowance] = {}
         self._dropped_headers = frozenset(
             (*HOP_HEADERS, dialect.deadline_ms, dialect.expected_instance)
@@ -133,9 +133,11 @@
         )
 
     def _work_estimate(self, route: Route) -> WorkEstimate:
-        estimate = self._works.get(route.name)
+        estimate = self._work_estimates.get(route.name)
         if estimate is None:
-            estimate = self._works[route.name] = WorkEstimate(route.target_latency_ms)
+            estimate = self._work_estimates[route.name] = WorkEstimate(
+                route.target_latency_ms
+            )
         return estimate
 
     def _retry_allowance(self, service: str) -> RetryAllowance:
@@ -155,7 +157,9 @@
         services = configuration.services
         self._split.retain(routes)
         self._caller_ages = {k: v for k, v in self._caller_ages.items() if k in routes}
-        self._works = {k: v for k, v in self._works.items() if k in routes}
+        self._work_estimates = {
+            k: v for k, v in self._work_estimates.items() if k in routes
+        }
         self._retry_allowances = {
             k: v for k, v in self._retry_allowances.items() if k in services
         }
--- a/pollenfold/gateway/connections.py
+++ b/pollenfold/gateway/connections.py
@@ -59,7 +59,7 @@
     async def acquire(self, endpoint: Endpoint) -> BackendConnection | None:
         """Return an open or opening connection, or None if there can be none."""
         try:
-            return await self.pool(endpoint).take()
+            return await self.pool(endpoint).acquire()
         except OSError:
             endpoint.health.mark_unreachable(self._clock())
             return None
@@ -74,7 +74,7 @@
         left_ms = min(remaining_ms(deadline, self._clock()), CONNECT_TIMEOUT_MS)
         try:
             async with curio.timeout_after(left_ms / 1000):
-                await connection.connected()
+                await connection.wait_until_connected()
             return connection
         except (OSError, curio.TaskTimeout):
             await self.record_failure(endpoint, connection)
@@ -96,7 +96,7 @@
         await self.discard(endpoint, connection)
         now = self._clock()
         if is_reused:
-            endpoint.health.fail(0.5, now)
+            endpoint.health.add_penalty(0.5, now)
         else:
             endpoint.health.mark_unreachable(now)
 
@@ -108,7 +108,7 @@
         """Close a connection and remove it from the pool of its endpoint."""
         await self.pool(endpoint).discard(connection)
 
-    async def close_old(self) -> None:
+    async def close_idle(self) -> None:
         """Close connections that were idle for long.
 
         All idle connections to endpoints that are leaving or gone are closed.
--- a/pollenfold/gateway/daemon.py
+++ b/pollenfold/gateway/daemon.py
@@ -20,9 +20,9 @@
 from ..http.request_reader import BODY_WINDOW_BYTES, ServerLimits
 from ..http.server import HttpServer
 from ..observe.clock import system_clock
+from ..observe.daemon import metrics_response, reload_settings, wait_for_stop_task
 from ..observe.events import EventLog
 from ..observe.exposition import Metrics
-from ..observe.service import metrics_response, reload_settings, wait_for_end
 from ..observe.signals import wait_for_stop
 from .balancer import Balancer
 from .calls import RetryLimits
@@ -128,7 +128,7 @@
             self.handle_caller,
             limits=self._caller_limits,
             on_rejected=self._log_rejected,
-            runs_beside_others=self.forwarder.is_idempotent,
+            allows_concurrency=self.forwarder.is_idempotent,
             window_bytes=BODY_WINDOW_BYTES,
         )
         self.platform_server = HttpServer(self.handle_platform)
@@ -182,8 +182,10 @@
     async def handle_platform(self, request: Request) -> Response:
         """Respond to a readiness check of the platform or to a metrics request."""
         if request.path == "/metrics":
-            self.metrics.set("configuration_version", self.view.orders.version)
-            self.metrics.set("orders_index", self.view.orders.index)
+            self.metrics.set(
+                "configuration_version", self.view.replicated_state.version
+            )
+            self.metrics.set("orders_index", self.view.replicated_state.index)
             self.metrics.set("feeds_connected", self.feeds.n_connected)
             self.metrics.set("requests_in_flight", self.caller_server.n_in_flight)
             self.metrics.set("endpoints", len(self.view.endpoints))
@@ -222,14 +224,14 @@
             gateway.log.state("metrics_unavailable", detail=str(error))
         caller_port = await gateway.caller_server.start_on(settings.caller_listener)
         await group.spawn(gateway.feeds.run)
-        await group.spawn(gateway.balancer.run)
+        await group.spawn(gateway.balancer.run_maintenance)
         await group.spawn(gateway.log.run)
         # The objects that exist now live as long as the process; freezing them keeps
         # the garbage collector from traversing them while requests are handled.
         gc.collect()
         gc.freeze()
         gateway.log.state("started", role="entry", zone=settings.zone, port=caller_port)
-        await wait_for_end(group, stop, gateway.log)
+        await wait_for_stop_task(group, stop, gateway.log)
         await _drain(gateway)
         gateway.log.flush()
         await group.cancel_remaining()
--- a/pollenfold/gateway/exchange.py
+++ b/pollenfold/gateway/exchange.py
@@ -9,11 +9,11 @@
 from ..core.clock import Clock, add_ms, remaining_ms
 from ..core.outcomes import AttemptOutcome
 from ..http.messages import BodyError, Response, find_header
-from ..http.readiness import is_closed_by_peer
+from ..http.socket_state import is_closed_by_peer
 from .backend import BackendConnection, BeforeFinalPiece, Failure
 from .calls import Call
 from .dialect import Dialect
-from .outgoing import OutgoingRequest, ReadRest, outgoing_request
+from .outgoing import OutgoingRequest, ReadRemainingBody, outgoing_request
 from .view import Endpoint
 
 CALLER_CHECK_INTERVAL_MS = 150.0
@@ -94,15 +94,15 @@
     )
 
 
-def _body_reader(call: Call) -> ReadRest | None:
+def _body_reader(call: Call) -> ReadRemainingBody | None:
     """Return the reader of the rest of a long body; it records that it was used."""
-    read_rest = call.request.read_rest
-    if read_rest is None:
+    read_remaining_body = call.request.read_remaining_body
+    if read_remaining_body is None:
         return None
 
     async def read_and_record() -> bytes:
         call.is_body_streamed = True
-        return await read_rest()
+        return await read_remaining_body()
 
     return read_and_record
 
--- a/pollenfold/gateway/feeds.py
+++ b/pollenfold/gateway/feeds.py
@@ -4,7 +4,7 @@
 of its replicated state immediately when it changes and also at regular intervals; the
 entry requests the state itself only when its own is older, first from a replica of its
 own zone. One replica, the update source, also sends updates on endpoints and entries
-(``core/news_source.py``).
+(``core/update_source.py``).
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import curio
 
 from ..core.clock import Clock, add_ms, remaining_ms
-from ..core.news_source import Source, choose_source
+from ..core.update_source import UpdateSource, choose_update_source
 from ..observe.events import EventLog
 from ..wire.connections import open_connection
 from ..wire.lines import read_lines
@@ -140,10 +140,10 @@
             return
         now = self._clock()
         sources = [
-            Source(host, feed.zone, feed.is_isolated(now))
+            UpdateSource(host, feed.zone, feed.is_isolated(now))
             for host, feed in self._connected.items()
         ]
-        best = choose_source(sources, self._identity.name, self._identity.zone)
+        best = choose_update_source(sources, self._identity.name, self._identity.zone)
         if best is None or best == self._source:
             return
         previous, self._source = self._source, best
@@ -242,7 +242,9 @@
                         feed.is_new = False
                         await self._choose_source()
                         await self._request_larger_list(feed)
-                    if index > max(self._view.orders.index, feed.requested_index):
+                    if index > max(
+                        self._view.replicated_state.index, feed.requested_index
+                    ):
                         feed.requested_index = index
                         await self._request_state(feed)
             finally:
@@ -258,13 +260,13 @@
         """Apply one line; return the index of the sender's replicated state, or 0."""
         view = self._view
         if "control" in line:
-            view.take_control_hosts(line["control"])
+            view.set_control_hosts(line["control"])
         if "orders" in line:
-            view.take_orders(line["orders"], host)
+            view.apply_replicated_state(line["orders"], host)
         if "announcements" in line:
-            view.take_announcements(line["announcements"])
+            view.apply_announcements(line["announcements"])
         if "heard" in line:
-            view.hear(line["heard"])
+            view.renew_endpoints(line["heard"])
         if "entries" in line and host == self._source:
             view.entry_ids = frozenset(line["entries"])
         if "joined" in line and host == self._source:
@@ -292,12 +294,16 @@
             await curio.spawn(self._request_state_later, feed, daemon=True)
 
     def _state_request(self) -> dict[str, Any]:
-        orders = self._view.orders
-        return {"get": 1, "index": orders.index, "version": orders.version}
+        replicated_state = self._view.replicated_state
+        return {
+            "get": 1,
+            "index": replicated_state.index,
+            "version": replicated_state.version,
+        }
 
     async def _request_state_later(self, feed: Feed) -> None:
         await curio.sleep(REMOTE_ZONE_DELAY_MS / 1000)
-        if self._view.orders.index < feed.requested_index:
+        if self._view.replicated_state.index < feed.requested_index:
             with contextlib.suppress(OSError, curio.TaskTimeout):
                 # The task that reads the feed detects a broken connection.
                 await feed.send(self._state_request())
--- a/pollenfold/gateway/answers.py
+++ b/pollenfold/gateway/final_responses.py
@@ -6,7 +6,7 @@
 
 from ..core.clock import Clock, remaining_ms
 from ..core.errors import ErrorKind, RunState
-from ..core.overload import quick_retry_after_ms, retry_after_ms
+from ..core.overload import retry_after_ms, short_retry_after_ms
 from ..http.messages import HOP_HEADERS, Response, error_response
 from ..observe.events import EventLog
 from ..observe.exposition import Metrics
@@ -51,7 +51,7 @@
             route=route,
             status=response.status,
             kind=kind.value,
-            version=self._view.orders.version,
+            version=self._view.replicated_state.version,
         )
         return response
 
@@ -75,8 +75,8 @@
             work_ms=call.work_estimate.get(),
             attempts=call.describe_attempts() or "none",
             asked=";".join(call.decision_trace) or "none",
-            version=self._view.orders.version,
-            index=self._view.orders.index,
+            version=self._view.replicated_state.version,
+            index=self._view.replicated_state.index,
             n_endpoints=len(self._view.by_service.get(call.service, ())),
         )
 
@@ -97,9 +97,9 @@
             left_ms = remaining_ms(call.deadline, self._clock())
             after_ms = retry_after_ms(left_ms, self._rng.random())
             if kind is ErrorKind.BACKEND_REFUSED:
-                after_ms = quick_retry_after_ms(self._rng.random())
-            if call.back_off_ms is not None:
-                after_ms = max(after_ms, call.back_off_ms)
+                after_ms = short_retry_after_ms(self._rng.random())
+            if call.backoff_ms is not None:
+                after_ms = max(after_ms, call.backoff_ms)
             response = error_response(kind, retry_after_s=round(after_ms / 1000, 3))
         self._metrics.count("refused_total", kind=kind.value)
         self.finish(call, response.status, kind.value)
@@ -125,4 +125,9 @@
         """Pass on the response of a backend server, without hop-by-hop headers."""
         self.finish(call, response.status, "responded")
         headers = [pair for pair in response.headers if pair[0] not in HOP_HEADERS]
-        return Response(response.status, headers, response.body, rest=response.rest)
+        return Response(
+            response.status,
+            headers,
+            response.body,
+            remaining_body=response.remaining_body,
+        )
--- a/pollenfold/gateway/forward.py
+++ b/pollenfold/gateway/forward.py
@@ -9,11 +9,11 @@
 from ..core.link import Link
 from ..core.outcomes import AttemptOutcome
 from ..core.overload import (
-    SPREAD_FACTOR,
-    Prospect,
-    Verdict,
+    WORK_VARIATION_FACTOR,
+    AdmissionDecision,
+    Placement,
     acceptable_slowdown,
-    judge,
+    decide_admission,
 )
 from ..core.routes import Route, RoutingConfiguration, find_route
 from ..http.messages import (
@@ -23,14 +23,14 @@
 )
 from ..observe.events import EventLog
 from ..observe.exposition import Metrics
-from .answers import FinalResponses
 from .backend import BeforeFinalPiece
 from .balancer import OVERLOADED_SLOWDOWN, Balancer, Pick
 from .calls import NOT_EXECUTED_OUTCOMES, Attempt, Call, CallFactory, RetryLimits
 from .dialect import Dialect
 from .exchange import CallerGoneError, exchange, is_caller_gone
+from .final_responses import FinalResponses
 from .long_response import hold_connection_for_body
-from .notices import take_notices
+from .notices import apply_response_notices
 from .view import Endpoint, FleetView
 
 MIN_DEADLINE_MS = 10.0
@@ -63,7 +63,7 @@
         self._view = view
         self._balancer = balancer
         self._dialect = dialect
-        self._book = CallFactory(dialect, retry_limits)
+        self._call_factory = CallFactory(dialect, retry_limits)
         self._clock = clock
         self._log = log
         self._metrics = metrics
@@ -91,16 +91,16 @@
         if configuration is None:
             after_ms = NOT_READY_RETRY_AFTER_MS
             return refuse(request_id, ErrorKind.NOT_READY, after_ms=after_ms)
-        self._book.retain(configuration)
+        self._call_factory.retain(configuration)
         route = _find_request_route(request, configuration)
         if route is None:
             return refuse(request_id, ErrorKind.NO_ROUTE)
-        call = self._book.create_call(request, request_id, route, started_at)
+        call = self._call_factory.create_call(request, request_id, route, started_at)
         if call is None:
             detail = "malformed deadline"
             kind = ErrorKind.BAD_REQUEST
             return refuse(request_id, kind, route=route.name, detail=detail)
-        self._link.note_received(len(request.body), started_at)
+        self._link.record_received(len(request.body), started_at)
         try:
             final = await self._forward(call)
         except CallerGoneError:
@@ -155,15 +155,15 @@
             call.decision_trace,
         )
         if pick is None:
-            call.back_off_ms = self._view.rest_left_ms(call.service)
-            if call.back_off_ms is None:
+            call.backoff_ms = self._view.backoff_left_ms(call.service)
+            if call.backoff_ms is None:
                 return ErrorKind.NO_BACKEND_SERVER
-            call.decision_trace.append(f"resting/{call.back_off_ms:.0f}")
+            call.decision_trace.append(f"resting/{call.backoff_ms:.0f}")
             return ErrorKind.QUEUE_FULL
         refusal_kind = self._refusal_kind(call, pick, is_first_attempt)
         if refusal_kind is None:
             return pick
-        await self._balancer.give_back(pick.endpoint, pick.connection)
+        await self._balancer.release(pick.endpoint, pick.connection)
         return refusal_kind
 
     def _refusal_kind(
@@ -175,26 +175,26 @@
             return ErrorKind.DEADLINE_EXCEEDED
         if is_first_attempt:
             return None if self._admits(call, pick, now) else ErrorKind.QUEUE_FULL
-        if call.retry_allowance.take(self._view.fleet.get(now), now):
+        if call.retry_allowance.try_acquire(self._view.fleet.get(now), now):
             return None
         self._metrics.count("retries_refused_total", service=call.service)
         return ErrorKind.BACKEND_REFUSED
 
     def _admits(self, call: Call, pick: Pick, now: Instant) -> bool:
         """Return whether a first attempt may be sent to the selected endpoint."""
-        prospect = Prospect(
+        placement = Placement(
             call.work_estimate.get(),
             pick.slowdown,
             pick.load,
             remaining_ms(call.target_at, now) - self._body_send_ms(call),
             remaining_ms(call.deadline, now) - self._body_send_ms(call),
         )
-        verdict = judge(prospect)
+        verdict = decide_admission(placement)
         call.decision_trace.append(verdict.value)
         self._metrics.count(
             "admissions_total", service=call.service, verdict=verdict.value
         )
-        return verdict is not Verdict.REFUSE
+        return verdict is not AdmissionDecision.REFUSE
 
     def _body_send_ms(self, call: Call) -> float:
         """Return how long the link takes to send the request body that was read."""
@@ -229,16 +229,20 @@
                     elapsed_ms,
                 )
             )
-            has_remaining_body = response is not None and response.rest is not None
+            has_remaining_body = (
+                response is not None and response.remaining_body is not None
+            )
             if outcome is AttemptOutcome.RESPONDED and has_remaining_body:
                 hold_connection_for_body(
                     call, pick, response, self._balancer, self._clock, self._log
                 )
             else:
-                await self._balancer.give_back(endpoint, pick.connection)
+                await self._balancer.release(endpoint, pick.connection)
         self._record_outcome(call, endpoint, outcome, elapsed_ms)
         if response is not None:
-            take_notices(endpoint, response, self._dialect, self._view, self._rng)
+            apply_response_notices(
+                endpoint, response, self._dialect, self._view, self._rng
+            )
         if outcome is AttemptOutcome.RESPONDED and pick.load is not None:
             call.work_estimate.observe(self._clock() - call.sent_at, pick.slowdown)
         if outcome is AttemptOutcome.SERVER_ERROR and not has_remaining_body:
@@ -255,7 +259,7 @@
         if pick.load is None or self._body_send_ms(call) < STALE_LOAD_MS:
             return None
         until = min(
-            add_ms(call.target_at, -SPREAD_FACTOR * call.work_estimate.get()),
+            add_ms(call.target_at, -WORK_VARIATION_FACTOR * call.work_estimate.get()),
             add_ms(self._clock(), self._body_send_ms(call) + MAX_HOLD_MS),
         )
 
@@ -286,11 +290,11 @@
             case AttemptOutcome.UNREACHABLE:
                 endpoint.health.mark_unreachable(now)
             case AttemptOutcome.NOT_STARTED:
-                endpoint.health.fail(0.5, now)
+                endpoint.health.add_penalty(0.5, now)
             case AttemptOutcome.LOST | AttemptOutcome.SERVER_ERROR:
-                endpoint.health.fail(2.0, now)
+                endpoint.health.add_penalty(2.0, now)
             case AttemptOutcome.EXPIRED:
-                endpoint.health.fail(1.0, now)
+                endpoint.health.add_penalty(1.0, now)
 
 
 def _find_request_route(
--- a/pollenfold/gateway/long_response.py
+++ b/pollenfold/gateway/long_response.py
@@ -24,11 +24,11 @@
 ) -> None:
     """Hold the connection until the rest of a long response has been passed on.
 
-    The ``rest`` of the response is replaced by one that ends at the deadline of the
-    call, records in the endpoint's health if the body ends early, and releases the
-    connection when it is closed.
+    The ``remaining_body`` of the response is replaced by one that ends at the deadline
+    of the call, records in the endpoint's health if the body ends early, and releases
+    the connection when it is closed.
     """
-    source = response.rest
+    source = response.remaining_body
     if source is None:
         raise ValueError("the response has no remaining body to stream")
     endpoint = pick.endpoint
@@ -49,11 +49,11 @@
                 endpoint=endpoint.announcement.endpoint_id,
                 detail=str(error) or "deadline",
             )
-            endpoint.health.fail(ABORTED_RESPONSE_PENALTY, clock())
+            endpoint.health.add_penalty(ABORTED_RESPONSE_PENALTY, clock())
             raise BodyError(ErrorKind.BACKEND_FAILED) from error
 
     async def close() -> None:
         endpoint.health.n_in_flight -= 1
-        await balancer.give_back(endpoint, pick.connection)
+        await balancer.release(endpoint, pick.connection)
 
-    response.rest = BodySource(read, close, source.length)
+    response.remaining_body = BodySource(read, close, source.length)
--- a/pollenfold/gateway/notices.py
+++ b/pollenfold/gateway/notices.py
@@ -5,14 +5,14 @@
 import random
 
 from ..http.messages import Response, find_header
-from ..http.retry_after import parse_rest_ms, spread_rest_ms
+from ..http.retry_after import parse_backoff_ms, spread_backoff_ms
 from .dialect import Dialect
 from .view import Endpoint, FleetView
 
 LEAVING = b"1"
 
 
-def take_notices(
+def apply_response_notices(
     endpoint: Endpoint,
     response: Response,
     dialect: Dialect,
@@ -31,6 +31,6 @@
     retry_after = find_header(headers, b"retry-after")
     if response.status != 503 or retry_after is None:
         return
-    backoff_ms = parse_rest_ms(retry_after, find_header(headers, b"date"))
+    backoff_ms = parse_backoff_ms(retry_after, find_header(headers, b"date"))
     if backoff_ms is not None:
-        view.start_backoff(endpoint, spread_rest_ms(backoff_ms, rng.random()))
+        view.start_backoff(endpoint, spread_backoff_ms(backoff_ms, rng.random()))
--- a/pollenfold/gateway/outgoing.py
+++ b/pollenfold/gateway/outgoing.py
@@ -12,7 +12,7 @@
 MAX_COPIED_BYTES = 16 * 1024
 """A body up to this length is copied behind the head, to be written in one call."""
 
-ReadRest = Callable[[], Awaitable[bytes]]
+ReadRemainingBody = Callable[[], Awaitable[bytes]]
 """Returns the next piece of a body, empty at its end."""
 
 
@@ -20,13 +20,13 @@
 class OutgoingRequest:
     """A validated request.
 
-    ``read_rest`` returns the pieces that follow ``body``. The request may be sent
-    several times as long as ``read_rest`` has not been called.
+    ``read_remaining_body`` returns the pieces that follow ``body``. The request may be
+    sent several times as long as ``read_remaining_body`` has not been called.
     """
 
     head: h11.Request
     body: bytes = b""
-    read_rest: ReadRest | None = None
+    read_remaining_body: ReadRemainingBody | None = None
 
     def encode(self, parser: h11.Connection) -> list[bytes]:
         """Return the head and ``body`` as bytes; ``parser`` then expects the response.
@@ -36,7 +36,7 @@
         data = [parser.send(self.head) or b""]
         if self.body:
             data.append(parser.send(h11.Data(data=self.body)) or b"")
-        if self.read_rest is None:
+        if self.read_remaining_body is None:
             data.append(parser.send(h11.EndOfMessage()) or b"")
         return data if len(self.body) > MAX_COPIED_BYTES else [b"".join(data)]
 
@@ -46,20 +46,21 @@
     target: bytes,
     headers: Headers,
     body: bytes,
-    read_rest: ReadRest | None = None,
+    read_remaining_body: ReadRemainingBody | None = None,
     length: bytes | None = None,
 ) -> OutgoingRequest:
     """Return a request to send; ``headers`` include the host but no framing.
 
-    ``length`` is the content length of a body whose rest comes from ``read_rest``.
-    Without ``length`` such a body is sent with chunked encoding.
+    ``length`` is the content length of a body whose remainder comes from
+    ``read_remaining_body``. Without ``length`` such a body is sent with chunked
+    encoding.
     """
     framed_headers = headers
-    if read_rest is not None:
+    if read_remaining_body is not None:
         chunked = (b"transfer-encoding", b"chunked")
         framing = chunked if length is None else (b"content-length", length)
         framed_headers = [*headers, framing]
     elif body or method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
         framed_headers = [*headers, (b"content-length", b"%d" % len(body))]
     head = h11.Request(method=method, target=target, headers=framed_headers)
-    return OutgoingRequest(head, body, read_rest)
+    return OutgoingRequest(head, body, read_remaining_body)
--- a/pollenfold/gateway/pool.py
+++ b/pollenfold/gateway/pool.py
@@ -32,7 +32,7 @@
         """The number of idle connections."""
         return len(self._idle)
 
-    async def take(self) -> BackendConnection | None:
+    async def acquire(self) -> BackendConnection | None:
         """Return an idle connection or a new one that is connecting.
 
         Return None at the limit, and raise OSError if connecting fails immediately.
@@ -55,7 +55,7 @@
 
     async def release(self, connection: BackendConnection) -> None:
         """Return a connection to the pool, or close it if it can't be reused."""
-        if connection.is_clean and connection.is_connected:
+        if connection.is_reusable and connection.is_connected:
             connection.last_used_at = self._clock()
             self._idle.append(connection)
             return
--- a/pollenfold/gateway/probes.py
+++ b/pollenfold/gateway/probes.py
@@ -10,7 +10,7 @@
 from ..core.clock import Clock, Instant, add_ms, remaining_ms
 from ..core.link import Link
 from ..core.selection import (
-    QUICK_SLOWDOWN,
+    EARLY_ACCEPT_SLOWDOWN,
     REMOTE_ZONE_SLOWDOWN,
     ServerLoad,
     expected_slowdown,
@@ -20,7 +20,7 @@
 from .backend import BackendConnection, Failure
 from .connections import CONNECT_TIMEOUT_MS, Connections
 from .dialect import Dialect
-from .notices import take_notices
+from .notices import apply_response_notices
 from .outgoing import OutgoingRequest, outgoing_request
 from .view import Endpoint, FleetView
 
@@ -187,7 +187,7 @@
         try:
             left_ms = remaining_ms(until, self._clock())
             async with curio.timeout_after(left_ms / 1000):
-                await connection.connected()
+                await connection.wait_until_connected()
                 if await connection.send(request):
                     return True
         except (OSError, curio.TaskTimeout):
@@ -253,8 +253,8 @@
             self._view.forget(endpoint_id, "other_instance")
             return None
         endpoint.health.mark_reachable()
-        take_notices(endpoint, response, dialect, self._view, self._rng)
-        if not self._view.may_get_work(endpoint):
+        apply_response_notices(endpoint, response, dialect, self._view, self._rng)
+        if not self._view.accepts_new_requests(endpoint):
             await self._connections.release(endpoint, connection)
             return None
         value = find_header(response.headers, dialect.server_load)
@@ -263,9 +263,9 @@
             state.record_health_response(load is not None)
         left = find_header(response.headers, dialect.warmup_left_ms)
         if response.status == 200:
-            self._view.confirm(endpoint, _milliseconds(left))
+            self._view.confirm_warmup(endpoint, _milliseconds(left))
         slowdown = 1.0 if load is None else expected_slowdown(load)
-        if slowdown > QUICK_SLOWDOWN:
+        if slowdown > EARLY_ACCEPT_SLOWDOWN:
             endpoint.health.mark_slow(now)
         is_cold = endpoint.is_cold(now)
         if is_cold:
@@ -275,9 +275,9 @@
             cost += REMOTE_ZONE_SLOWDOWN
         if response.status != 200:
             # A health response may be wrong, so the endpoint remains as a last resort.
-            endpoint.health.fail(1.0, now)
+            endpoint.health.add_penalty(1.0, now)
             cost += UNHEALTHY_COST
-        if not connection.is_clean:
+        if not connection.is_reusable:
             await self._connections.discard(endpoint, connection)
             fresh = await self._connections.connect(
                 endpoint, add_ms(now, CONNECT_TIMEOUT_MS)
--- a/pollenfold/gateway/view.py
+++ b/pollenfold/gateway/view.py
@@ -14,13 +14,13 @@
 from ..core.allowances import FleetSize
 from ..core.clock import Clock, Instant, add_ms, remaining_ms
 from ..core.digests import bucket_digests
-from ..core.orders import Orders
 from ..core.registry import (
     Announcement,
     Registry,
+    accepts_new_requests,
     decode_announcement,
-    may_get_work,
 )
+from ..core.replicated_state import ReplicatedState
 from ..core.routes import RoutingConfiguration
 from ..core.selection import EndpointHealth
 from ..observe.events import EventLog
@@ -59,7 +59,7 @@
         """What identifies this incarnation of the endpoint."""
         return self.announcement.endpoint_id, self.announcement.born_ms
 
-    def is_resting(self, now: Instant) -> bool:
+    def is_backing_off(self, now: Instant) -> bool:
         """Return whether the endpoint asked for a back-off that has not ended."""
         return now < self.backoff_until
 
@@ -79,7 +79,7 @@
         self._decode = decode
         self._clock = clock
         self._log = log
-        self.orders = Orders()
+        self.replicated_state = ReplicatedState()
         self.configuration: RoutingConfiguration | None = None
         self.registry = Registry()
         self.endpoints: dict[str, Endpoint] = {}
@@ -99,27 +99,27 @@
 
     # Replicated state
 
-    def take_orders(self, fields: dict[str, Any], source: str) -> bool:
+    def apply_replicated_state(self, fields: dict[str, Any], source: str) -> bool:
         """Apply a copy of the replicated state; return whether it was newer."""
-        if int(fields["index"]) <= self.orders.index:
+        if int(fields["index"]) <= self.replicated_state.index:
             return False
-        orders = self.orders.merged(fields)
-        previous, self.orders = self.orders, orders
-        if orders.version > previous.version:
-            self.configuration = self._decode(orders.document)
+        replicated_state = self.replicated_state.merged(fields)
+        previous, self.replicated_state = self.replicated_state, replicated_state
+        if replicated_state.version > previous.version:
+            self.configuration = self._decode(replicated_state.document)
             self._log.state(
                 "configuration_in_force",
-                version=orders.version,
+                version=replicated_state.version,
                 before=previous.version,
-                index=orders.index,
+                index=replicated_state.index,
                 source=source,
             )
-        for zone in previous.evacuated - orders.evacuated:
+        for zone in previous.evacuated - replicated_state.evacuated:
             # The endpoints of a zone may have become cold while it was evacuated.
             self._mark_unconfirmed(zone)
-        if previous.evacuated != orders.evacuated:
-            zones = ",".join(sorted(orders.evacuated)) or "none"
-            self._log.state("zones_out", zones=zones, index=orders.index)
+        if previous.evacuated != replicated_state.evacuated:
+            zones = ",".join(sorted(replicated_state.evacuated)) or "none"
+            self._log.state("zones_out", zones=zones, index=replicated_state.index)
         self._rebuild()
         return True
 
@@ -130,7 +130,7 @@
 
     # Endpoints
 
-    def take_announcements(self, items: Iterable[tuple[list[object], float]]) -> None:
+    def apply_announcements(self, items: Iterable[tuple[list[object], float]]) -> None:
         """Apply announcements, each with the ms since a control replica received it."""
         is_changed = False
         for fields, age_ms in items:
@@ -180,7 +180,7 @@
         endpoint.announcement = announcement
         endpoint.set_warmup_left(announcement.warmup_left_ms - age_ms, now)
 
-    def confirm(self, endpoint: Endpoint, warmup_left_ms: float) -> None:
+    def confirm_warmup(self, endpoint: Endpoint, warmup_left_ms: float) -> None:
         """Apply the remaining warm-up time that a health response just reported."""
         endpoint.is_unconfirmed = False
         endpoint.set_warmup_left(warmup_left_ms, self._clock())
@@ -211,7 +211,7 @@
     def start_backoff(self, endpoint: Endpoint, backoff_ms: float) -> None:
         """Send nothing to an endpoint for the time that it asked for."""
         now = self._clock()
-        if not endpoint.is_resting(now):
+        if not endpoint.is_backing_off(now):
             endpoint_id = endpoint.announcement.endpoint_id
             self._log.state("endpoint_rests", endpoint=endpoint_id, rest_ms=backoff_ms)
         endpoint.backoff_until = max(endpoint.backoff_until, add_ms(now, backoff_ms))
@@ -220,17 +220,17 @@
     def n_backing_off(self) -> int:
         """The number of endpoints that are backing off at this moment."""
         now = self._clock()
-        return sum(endpoint.is_resting(now) for endpoint in self.endpoints.values())
+        return sum(endpoint.is_backing_off(now) for endpoint in self.endpoints.values())
 
     def digests(self) -> list[int]:
         """Return the digests of the known endpoints."""
         return bucket_digests(self.registry.announcements())
 
-    def hear(self, endpoint_ids: list[str]) -> None:
+    def renew_endpoints(self, endpoint_ids: list[str]) -> None:
         """Record that these endpoints repeated their announcements."""
         now = self._clock()
         for endpoint_id in endpoint_ids:
-            self.registry.hear(endpoint_id, now)
+            self.registry.renew(endpoint_id, now)
 
     def expire(self) -> None:
         """Remove unresponsive endpoints, unless this entry itself may be isolated."""
@@ -261,29 +261,31 @@
 
     def _is_eligible(self, endpoint: Endpoint) -> bool:
         is_leaving = self.is_leaving(endpoint)
-        return not is_leaving and may_get_work(endpoint.announcement, self.orders)
+        return not is_leaving and accepts_new_requests(
+            endpoint.announcement, self.replicated_state
+        )
 
-    def may_get_work(self, endpoint: Endpoint) -> bool:
+    def accepts_new_requests(self, endpoint: Endpoint) -> bool:
         """Return whether a new request may be sent to the endpoint at this moment."""
         current = self.endpoints.get(endpoint.announcement.endpoint_id)
-        is_backing_off = endpoint.is_resting(self._clock())
+        is_backing_off = endpoint.is_backing_off(self._clock())
         return (
             current is endpoint and not is_backing_off and self._is_eligible(endpoint)
         )
 
-    def rest_left_ms(self, service: str) -> float | None:
+    def backoff_left_ms(self, service: str) -> float | None:
         """Return the ms until the first endpoint of a service ends its back-off.
 
         Return None when the service has no endpoints or one isn't backing off.
         """
         endpoints = self.by_service.get(service, ())
         now = self._clock()
-        if not endpoints or not all(e.is_resting(now) for e in endpoints):
+        if not endpoints or not all(e.is_backing_off(now) for e in endpoints):
             return None
         return remaining_ms(min(e.backoff_until for e in endpoints), now)
 
     # The fleet
 
-    def take_control_hosts(self, control_hosts: list[str]) -> None:
+    def set_control_hosts(self, control_hosts: list[str]) -> None:
         """Set the hosts of the control replicas, as reported by one of them."""
         self.control_hosts = frozenset(control_hosts) or self.control_hosts
--- a/pollenfold/http/caller.py
+++ b/pollenfold/http/caller.py
@@ -22,8 +22,8 @@
 from ..observe.clock import system_clock
 from .memory import MemoryBudget
 from .messages import BodyError, Request, Response, error_response
-from .readiness import is_readable
 from .request_reader import RequestError, RequestReader, ServerLimits
+from .socket_state import is_readable
 
 Handler = Callable[[Request], Awaitable[Response | None]]
 """Returns the response to a request; None closes the connection without a response."""
@@ -53,7 +53,7 @@
     """State shared by all connections of one server."""
 
     handler: Handler
-    runs_beside_others: Callable[[Request], bool]
+    allows_concurrency: Callable[[Request], bool]
     on_rejected: OnRejected
     budget: MemoryBudget
     window_bytes: int
@@ -205,8 +205,8 @@
         """Handle a request, inline or concurrently; return whether to read on."""
         request = exchange.request
         is_last = exchange.parser.their_state is not h11.DONE
-        can_run_concurrently = request.read_rest is None and not is_last
-        if can_run_concurrently and self._shared.runs_beside_others(request):
+        can_run_concurrently = request.read_remaining_body is None and not is_last
+        if can_run_concurrently and self._shared.allows_concurrency(request):
             exchange.task = await curio.spawn(self._respond, exchange, daemon=True)
             while len(self._waiting) >= MAX_PIPELINED_REQUESTS:
                 await self._waiting[0].is_done.wait()
@@ -234,8 +234,8 @@
             self._client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             await self._close_after(exchange, should_linger=False)
         finally:
-            if response is not None and response.rest is not None:
-                await response.rest.close()
+            if response is not None and response.remaining_body is not None:
+                await response.remaining_body.close()
 
     async def _handle(self, request: Request) -> Response | None:
         """Return the handler's response, or an internal error if the handler raises.
@@ -330,7 +330,7 @@
         headers = [*response.headers]
         if response.close:
             headers.append((b"connection", b"close"))
-        body_source = response.rest
+        body_source = response.remaining_body
         length = len(response.body) if body_source is None else body_source.length
         # Without a length, h11 uses chunked encoding, or closes for HTTP/1.0 callers.
         if response.status not in _STATUS_WITHOUT_BODY and length is not None:
--- a/pollenfold/http/client.py
+++ b/pollenfold/http/client.py
@@ -11,7 +11,7 @@
 
 from ..wire.connections import open_connection
 from .messages import Headers, Response
-from .readiness import is_readable
+from .socket_state import is_readable
 
 READ_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
@@ -38,7 +38,7 @@
 class HttpConnection:
     """A persistent connection for consecutive exchanges.
 
-    ``n_exchanges`` counts the requests sent. After an exchange, ``reusable`` is true
+    ``n_exchanges`` counts the requests sent. After an exchange, ``is_reusable`` is true
     if both sides completed it. Only such a connection may carry another request;
     any other must be closed, because a late response on it could reach the next caller.
     """
@@ -52,7 +52,7 @@
         "_has_response_bytes",
         "_is_head_request",
         "n_exchanges",
-        "reusable",
+        "is_reusable",
     )
 
     def __init__(self, sock: socket.socket) -> None:
@@ -66,7 +66,7 @@
         self._has_response_bytes = False
         self._is_head_request = False
         self.n_exchanges = 0
-        self.reusable = True
+        self.is_reusable = True
 
     @classmethod
     async def open(cls, host: str, port: int) -> HttpConnection:
@@ -99,7 +99,7 @@
 
         ``headers`` must contain ``host`` and no framing headers.
         """
-        self.reusable = False
+        self.is_reusable = False
         self.n_exchanges += 1
         self._is_head_request = method == b"HEAD"
         self._head = None
@@ -119,11 +119,12 @@
         return await self._write(data)
 
     async def receive(self, timeout_ms: float) -> Result[Response, ExchangeFailure]:
-        """Read the response as ``wait`` does, for code outside the call path."""
-        response = await self.wait(timeout_ms)
+        """Read the response as ``receive_response`` does, for code outside the call
+        path."""
+        response = await self.receive_response(timeout_ms)
         return Ok(response) if isinstance(response, Response) else Error(response)
 
-    async def wait(self, timeout_ms: float) -> Response | ExchangeFailure:
+    async def receive_response(self, timeout_ms: float) -> Response | ExchangeFailure:
         """Read the response to the request that was sent, or continue reading it.
 
         ``TIMEOUT`` leaves the exchange open, so the call may be repeated. The
@@ -138,7 +139,7 @@
 
     async def close(self) -> None:
         """Close the connection, which also cancels a request in flight."""
-        self.reusable = False
+        self.is_reusable = False
         await self._sock.close()
 
     async def _write(self, data: bytes) -> ExchangeFailure | None:
@@ -193,7 +194,7 @@
             # Not reused after surplus bytes, which belong to no request.
             if not connection.trailing_data[0]:
                 connection.start_next_cycle()
-                self.reusable = True
+                self.is_reusable = True
         return Response(head.status_code, list(head.headers), b"".join(self._body))
 
 
--- a/pollenfold/http/messages.py
+++ b/pollenfold/http/messages.py
@@ -55,9 +55,10 @@
     socket, used to detect that the caller closed it, or -1. ``received_at`` is when the
     head was read, since the caller's deadline already counts while the body arrives.
 
-    ``body`` is complete unless ``read_rest`` is set; a truncated short body never
-    reaches a handler. For a long body it is the first part, and each call of
-    ``read_rest`` returns the next part, ``b""`` at the end, or raises BodyError.
+    ``body`` is complete unless ``read_remaining_body`` is set; a truncated short body
+    never reaches a handler. For a long body it is the first part, and each call of
+    ``read_remaining_body`` returns the next part, ``b""`` at the end, or raises
+    BodyError.
     """
 
     method: bytes
@@ -67,7 +68,7 @@
     peer: str = ""
     descriptor: int = -1
     received_at: Instant | None = None
-    read_rest: Callable[[], Awaitable[bytes]] | None = None
+    read_remaining_body: Callable[[], Awaitable[bytes]] | None = None
 
     @property
     def path(self) -> str:
@@ -97,14 +98,15 @@
 class Response:
     """One response; ``close`` ends the connection after it.
 
-    ``body`` is complete unless ``rest`` is set, which provides the remaining body.
+    ``body`` is complete unless ``remaining_body`` is set, which provides the remaining
+    body.
     """
 
     status: int
     headers: Headers
     body: bytes = b""
     close: bool = False
-    rest: BodySource | None = None
+    remaining_body: BodySource | None = None
 
 
 def json_response(status: int, value: Any, headers: Headers | None = None) -> Response:
--- a/pollenfold/http/pool.py
+++ b/pollenfold/http/pool.py
@@ -45,7 +45,7 @@
 
     async def release(self, connection: HttpConnection) -> None:
         """Return a connection to the pool, or close it if it isn't reusable."""
-        if connection.reusable:
+        if connection.is_reusable:
             self._idle.append(connection)
             return
         self.n_open -= 1
--- a/pollenfold/http/request_reader.py
+++ b/pollenfold/http/request_reader.py
@@ -136,7 +136,7 @@
             self._head_received_at,
         )
         if not self.is_body_read:
-            request.read_rest = self._read_rest
+            request.read_remaining_body = self._read_remaining_body
         return request
 
     async def release(self) -> None:
@@ -154,7 +154,7 @@
             detail = "no memory for the body"
             raise RequestError(ErrorKind.QUEUE_FULL, detail, self._head) from None
 
-    async def _read_rest(self) -> bytes:
+    async def _read_remaining_body(self) -> bytes:
         """Return the next piece of a long body, or ``b""`` at its end."""
         try:
             return await self._read_piece()
--- a/pollenfold/http/retry_after.py
+++ b/pollenfold/http/retry_after.py
@@ -18,7 +18,7 @@
 DATE_FORMAT = "%a, %d %b %Y %H:%M:%S GMT"
 
 
-def parse_rest_ms(value: bytes, date: bytes | None) -> float | None:
+def parse_backoff_ms(value: bytes, date: bytes | None) -> float | None:
     """Return the back-off in ms that a Retry-After header requests, or None.
 
     ``value`` holds seconds, with or without a fraction, or a date. A date is relative
@@ -35,7 +35,7 @@
     return min(1000.0 * seconds, MAX_BACKOFF_MS)
 
 
-def spread_rest_ms(backoff_ms: float, position: float) -> float:
+def spread_backoff_ms(backoff_ms: float, position: float) -> float:
     """Return the extended back-off; ``position``, from 0 to 1, differs by entry."""
     return backoff_ms * (1.0 + BACKOFF_SPREAD * position)
 
--- a/pollenfold/http/server.py
+++ b/pollenfold/http/server.py
@@ -21,7 +21,7 @@
 BUFFERED_BODY_BUDGET_BYTES = 64 << 20
 """Memory limits for one completely buffered body and for all bodies of a server."""
 
-READ_WAIT_MS = 2000.0
+PARTIAL_REQUEST_WAIT_MS = 2000.0
 """How long a planned stop waits for a request that has arrived in part."""
 
 FIRST_REQUEST_WAIT_MS = 250.0
@@ -58,22 +58,22 @@
         max_body_bytes: int = 1 << 20,
         limits: Callable[[], ServerLimits] | None = None,
         on_rejected: OnRejected = _log_internal_error,
-        runs_beside_others: Callable[[Request], bool] = _never_concurrent,
+        allows_concurrency: Callable[[Request], bool] = _never_concurrent,
         window_bytes: int | None = None,
     ) -> None:
         """Create a server; ``limits`` is called for each connection.
 
         With ``window_bytes``, the handler gets longer bodies in parts
-        (``Request.read_rest``); otherwise each body is buffered completely.
+        (``Request.read_remaining_body``); otherwise each body is buffered completely.
 
-        ``runs_beside_others`` returns whether a request may be handled concurrently
+        ``allows_concurrency`` returns whether a request may be handled concurrently
         with earlier ones of its connection.
         """
         default_limits = ServerLimits(max_body_bytes)
         self._limits = limits or (lambda: default_limits)
-        self._traffic = SharedState(
+        self._shared = SharedState(
             handler,
-            runs_beside_others,
+            allows_concurrency,
             on_rejected,
             MemoryBudget(
                 BODY_BUDGET_BYTES if window_bytes else BUFFERED_BODY_BUDGET_BYTES
@@ -82,12 +82,12 @@
         )
         self._connections: set[CallerConnection] = set()
         self._accept_task: curio.Task | None = None
-        self._listening: sockets.socket | None = None
+        self._listening_socket: sockets.socket | None = None
 
     @property
     def n_in_flight(self) -> int:
         """The number of requests that were read and whose response is pending."""
-        return self._traffic.n_in_flight
+        return self._shared.n_in_flight
 
     async def start(self, host: str, port: int) -> int:
         """Listen on the address and return the port, which the kernel chooses for 0."""
@@ -95,7 +95,7 @@
 
     async def start_on(self, listener: sockets.socket) -> int:
         """Serve a socket that is already listening, and return its port."""
-        self._listening = listener
+        self._listening_socket = listener
         self._accept_task = await curio.spawn(
             self._accept, Socket(listener), daemon=True
         )
@@ -103,7 +103,7 @@
 
     def announce_stop(self) -> None:
         """Close each connection after its last response, and continue accepting."""
-        self._traffic.is_stopping = True
+        self._shared.is_stopping = True
 
     async def stop(self) -> None:
         """Close the listener and the connections without a request.
@@ -111,11 +111,11 @@
         A connection in the kernel's accept queue may carry a request, so it is
         accepted first and given ``FIRST_REQUEST_WAIT_MS`` to send it.
         """
-        self._traffic.is_stopping = True
-        if self._accept_task is not None and self._listening is not None:
-            await self._accept_queued(self._listening)
+        self._shared.is_stopping = True
+        if self._accept_task is not None and self._listening_socket is not None:
+            await self._accept_queued(self._listening_socket)
             await self._accept_task.cancel()
-            self._listening.close()
+            self._listening_socket.close()
         for connection in list(self._connections):
             if connection.is_new:
                 await curio.spawn(self._close_new_if_idle, connection, daemon=True)
@@ -131,9 +131,10 @@
         """Return when no request is in flight.
 
         A request that is still arriving is waited for as well, but only for
-        ``READ_WAIT_MS``, so that a caller that stops sending can't delay the stop.
+        ``PARTIAL_REQUEST_WAIT_MS``, so that a caller that stops sending can't delay the
+        stop.
         """
-        async with curio.ignore_after(READ_WAIT_MS / 1000):
+        async with curio.ignore_after(PARTIAL_REQUEST_WAIT_MS / 1000):
             while any(c.is_busy or c.is_new for c in self._connections):
                 await curio.sleep(0.005)
         while self.n_in_flight:
@@ -162,7 +163,7 @@
 
     async def _serve(self, client: Socket, peer: str) -> None:
         connection_class = self.connection_class
-        connection = connection_class(client, peer, self._traffic, self._limits())
+        connection = connection_class(client, peer, self._shared, self._limits())
         self._connections.add(connection)
         try:
             await connection.serve()
--- a/pollenfold/ledger/client.py
+++ b/pollenfold/ledger/client.py
@@ -11,7 +11,7 @@
 from expression import Error, Result
 
 from ..core import claims
-from ..core.claims import Action, ClaimAnswer, Finish, Operation, Pause, Send
+from ..core.claims import Action, ClaimResult, Finish, Operation, Pause, Send
 from ..core.clock import Clock, add_ms, remaining_ms
 from ..core.errors import ErrorKind
 from ..core.register import Outcome, Reply, State, recover
@@ -129,7 +129,7 @@
         self._random = random.Random(client_id)
         self._n_operations = 0
 
-    async def claim(self, key: str, claim_id: str, max_age_ms: float) -> ClaimAnswer:
+    async def claim(self, key: str, claim_id: str, max_age_ms: float) -> ClaimResult:
         """Claim a key; only ``Claimed`` permits to dispatch the request, once.
 
         ``claim_id`` must be new for every call. ``max_age_ms`` is the timeout of the
@@ -173,7 +173,7 @@
         operation = claims.abandon(n_replicas, self._next_proposer(), claim_id)
         return await self._run_operation(key, operation)
 
-    async def unresolved(self, limit: int) -> list[UnresolvedClaim]:
+    async def unresolved_claims(self, limit: int) -> list[UnresolvedClaim]:
         """Return at most ``limit`` claims without an outcome, sorted by key.
 
         The list is complete up to the limit when a majority of replicas responds.
@@ -214,7 +214,7 @@
                 action = operation.resume()
                 continue
             action = await self._send(pending, key, action)
-        return action.answer
+        return action.result
 
     def _backoff_s(self, n_rounds: int) -> float:
         return self._random.uniform(0, BASE_BACKOFF_MS * 2**n_rounds) / 1000
--- a/pollenfold/ledger/daemon.py
+++ b/pollenfold/ledger/daemon.py
@@ -34,7 +34,7 @@
     replica = LedgerReplica(
         settings.replica_id, others, settings.data_folder, wall_clock
     )
-    server = RpcServer({Protocol.LEDGER: replica.answer})
+    server = RpcServer({Protocol.LEDGER: replica.handle_request})
     sock = curio.tcp_server_socket(settings.host, port)
     logger.info(
         "event=ledger_listening replica={} port={}",
--- a/pollenfold/ledger/rejoin.py
+++ b/pollenfold/ledger/rejoin.py
@@ -20,7 +20,7 @@
 
 import curio
 
-from ..core.register import BLANK_REGISTER, Aged, Register, merge_copies
+from ..core.register import BLANK_REGISTER, AgedRegister, Register, merge_copies
 from ..wire.frames import Protocol
 from ..wire.ledger import (
     Body,
@@ -39,7 +39,7 @@
 PEER_TIMEOUT_MS = 1000.0
 """Long enough to read a page of the largest outcomes from a busy peer."""
 
-Copy = dict[str, Aged]
+Copy = dict[str, AgedRegister]
 
 
 @dataclass(frozen=True, slots=True)
--- a/pollenfold/ledger/replica.py
+++ b/pollenfold/ledger/replica.py
@@ -53,7 +53,7 @@
 
 
 class LedgerReplica:
-    """One replica of the ledger; ``answer`` is its RPC handler.
+    """One replica of the ledger; ``handle_request`` is its RPC handler.
 
     A blank replica responds only to status requests, and a replica with a failed
     write to none: the client then gets an error frame, which counts as no response.
@@ -110,7 +110,7 @@
             join_result.epochs,
         )
 
-    async def answer(self, payload: bytes) -> bytes:
+    async def handle_request(self, payload: bytes) -> bytes:
         """Handle one request; raise an exception when the replica must not respond."""
         self.store.raise_if_failed()
         if len(payload) > MAX_REQUEST_BYTES:
--- a/pollenfold/observe/service.py
+++ b/pollenfold/observe/daemon.py
@@ -30,7 +30,9 @@
     return Response(200, [(b"content-type", b"text/plain")], text)
 
 
-async def wait_for_end(group: curio.TaskGroup, stop: curio.Task, log: EventLog) -> None:
+async def wait_for_stop_task(
+    group: curio.TaskGroup, stop: curio.Task, log: EventLog
+) -> None:
     """Wait until the task ``stop`` ends; raise if another task ends first."""
     first_done = await group.next_done()
     if first_done is stop:
--- a/pollenfold/observe/events.py
+++ b/pollenfold/observe/events.py
@@ -91,7 +91,7 @@
     def _admit_line(self, bucket: str) -> bool:
         """Apply the limits and return whether to add a line; log the dropped count."""
         is_full = len(self._buffer) > MAX_BUFFER_BYTES
-        if is_full or not self._buckets[bucket].try_take(1.0, self._clock()):
+        if is_full or not self._buckets[bucket].try_acquire(1.0, self._clock()):
             self.n_dropped += 1
             self._n_unreported += 1
             return False
--- a/pollenfold/platform/control_api.py
+++ b/pollenfold/platform/control_api.py
@@ -9,7 +9,7 @@
 
 from ..control.cluster import ClusterNode
 from ..core.errors import ErrorKind
-from ..core.orders import Configure, Evacuate
+from ..core.replicated_state import Configure, Evacuate
 from ..http.messages import Request, Response, error_response, json_response
 from .documents import DocumentError, decode_announcement, decode_configuration
 
@@ -26,7 +26,7 @@
 
     def __init__(self, node: ClusterNode, api_port: int, zones: frozenset[str]) -> None:
         self._node = node
-        self._book = node.book
+        self._cluster_state = node.cluster_state
         self._port = api_port
         self._zones = zones
 
@@ -64,13 +64,15 @@
             return self._command_response(
                 "leave",
                 endpoint_id,
-                await self._book.depart(endpoint_id, now_ms, COMMAND_TIMEOUT_MS),
+                await self._cluster_state.depart(
+                    endpoint_id, now_ms, COMMAND_TIMEOUT_MS
+                ),
             )
         try:
             announcement = decode_announcement(endpoint_id, request.body)
         except DocumentError as error:
             return self._invalid_response("heartbeat", endpoint_id, error)
-        result = await self._book.announce(announcement, COMMAND_TIMEOUT_MS)
+        result = await self._cluster_state.announce(announcement, COMMAND_TIMEOUT_MS)
         if not announcement.is_leaving:
             return json_response(200, {})
         return self._command_response("drain", endpoint_id, result)
@@ -78,7 +80,9 @@
     async def _evacuate(self, zone: str, is_out: bool) -> Response:
         if self._zones and zone not in self._zones:
             return error_response(ErrorKind.NOT_FOUND, f"unknown zone {zone}")
-        result = await self._book.submit(Evacuate(zone, is_out), COMMAND_TIMEOUT_MS)
+        result = await self._cluster_state.submit(
+            Evacuate(zone, is_out), COMMAND_TIMEOUT_MS
+        )
         return self._command_response("zone_out" if is_out else "zone_in", zone, result)
 
     async def _configure(self, request: Request) -> Response:
@@ -88,13 +92,13 @@
         except (DocumentError, UnicodeDecodeError) as error:
             return self._invalid_response("configuration", "", error)
         command = Configure(configuration.version, text)
-        result = await self._book.submit(command, COMMAND_TIMEOUT_MS)
+        result = await self._cluster_state.submit(command, COMMAND_TIMEOUT_MS)
         return self._command_response(
             "configuration", str(configuration.version), result
         )
 
     async def _get_configuration(self) -> Response:
-        result = await self._book.read(COMMAND_TIMEOUT_MS)
+        result = await self._cluster_state.read(COMMAND_TIMEOUT_MS)
         if result.is_error():
             return self._command_response("read", "", result)
         if not result.ok.version:
@@ -114,8 +118,8 @@
             call=call,
             subject=subject,
             outcome=outcome,
-            index=self._book.orders.index,
-            version=self._book.orders.version,
+            index=self._cluster_state.replicated_state.index,
+            version=self._cluster_state.replicated_state.version,
             leader=str(self._node.replica.leader_id()),
         )
         if error is None:
--- a/pollenfold/platform/documents.py
+++ b/pollenfold/platform/documents.py
@@ -9,9 +9,9 @@
 from ..core.routes import (
     BackendService,
     CallerLimits,
-    Part,
     Route,
     RoutingConfiguration,
+    WeightedService,
     sorted_routes,
 )
 
@@ -94,7 +94,7 @@
         name=name,
         path_prefix=prefix,
         is_idempotent=IDEMPOTENCE_BY_KIND[kind],
-        parts=weighted_services,
+        weighted_services=weighted_services,
         timeout_ms=timeout_ms,
         target_latency_ms=_number_field(item, "targetLatencyMs", 1_000),
         priority=int(_number_field(item, "priority", 0)),
@@ -102,12 +102,16 @@
     )
 
 
-def _decode_traffic_split(item: dict[str, Any], route_name: str) -> tuple[Part, ...]:
+def _decode_traffic_split(
+    item: dict[str, Any], route_name: str
+) -> tuple[WeightedService, ...]:
     split = item.get("trafficSplit")
     if split is None:
-        return (Part(_text_field(item, "service"), 1.0),)
+        return (WeightedService(_text_field(item, "service"), 1.0),)
     weighted_services = tuple(
-        Part(_text_field(part, "service"), _number_field(part, "weight", None))
+        WeightedService(
+            _text_field(part, "service"), _number_field(part, "weight", None)
+        )
         for part in _list_field(item, "trafficSplit")
     )
     if not weighted_services or sum(part.weight for part in weighted_services) <= 0:
--- a/pollenfold/storage/agreement.py
+++ b/pollenfold/storage/agreement.py
@@ -17,7 +17,7 @@
     PersistState,
 )
 from ..core.errors import ErrorKind, Failure
-from ..wire.agreement import entry_fields, founder_fields, read_founders
+from ..wire.agreement import decode_founders, entry_fields, founder_fields
 from ..wire.schemas import MAX_TRAVERSAL_WORDS, load_schema
 from .identity import load_identity, mark_joined
 from .journal import Journal
@@ -50,8 +50,8 @@
         self._folder = folder
         self.identity = load_identity(folder, replica_id)
         self._journal, records = open_journal(folder / FILE_NAME)
-        self.stored, self.log = _read_records(records)
-        if self.stored is None and not self.identity.is_blank:
+        self.stored_state, self.log = _read_records(records)
+        if self.stored_state is None and not self.identity.is_blank:
             raise OSError(
                 f"expected the log of a replica that has joined in {folder}, got none"
             )
@@ -64,13 +64,15 @@
         """Perform one action durably; return ``STORAGE_FAILED`` if that fails."""
         match action:
             case PersistState():
-                self.stored = action
+                self.stored_state = action
                 return self._journal.append([_vote_record(action)])
             case PersistEntries(entries):
                 return self._journal.append([_entry_record(entry) for entry in entries])
             case PersistLog(log):
                 vote_records = (
-                    [] if self.stored is None else [_vote_record(self.stored)]
+                    []
+                    if self.stored_state is None
+                    else [_vote_record(self.stored_state)]
                 )
                 entry_records = [_entry_record(entry) for entry in log.entries]
                 snapshot_records = _snapshot_records(log.snapshot)
@@ -155,5 +157,5 @@
         vote.term,
         vote.vote if vote.hasVote else None,
         vote.voteFloor,
-        read_founders(vote.founders),
+        decode_founders(vote.founders),
     )
--- a/pollenfold/testing/backend_server.py
+++ b/pollenfold/testing/backend_server.py
@@ -25,11 +25,11 @@
 from ..observe.clock import system_clock
 from ..observe.logs import configure_logs
 from .announcer import Announcer
-from .answers import encode_answer
 from .backend_settings import BackendSettings
 from .counts import Counts
 from .fault_http import DamagedResponse, FaultServer, caller_closed_within
-from .faults import Action, FaultKind, FaultOrder, FaultRule, FaultTable
+from .faults import Action, FaultKind, FaultRule, FaultTable, FaultUpdate
+from .response_bodies import encode_response_body
 
 NOT_STARTED = (b"pollenfold-not-started", b"true")
 EXCHANGE_ID = b"pollenfold-exchange-id"
@@ -105,7 +105,7 @@
         if self.counts.run_log is not None:
             self.counts.run_log.close()
 
-    async def order(self, update: FaultOrder) -> None:
+    async def update_faults(self, update: FaultUpdate) -> None:
         """Replace the fault table, if given, and carry out the actions."""
         if update.faults is not None:
             self._faults = FaultTable(update.faults, update.seed)
@@ -150,10 +150,10 @@
             )
         if path == "/stand-in/faults":
             try:
-                update = FaultOrder.model_validate_json(request.body)
+                update = FaultUpdate.model_validate_json(request.body)
             except ValidationError as error:
                 return json_response(400, {"error": str(error)})
-            await self.order(update)
+            await self.update_faults(update)
             return json_response(200, {})
         response = await self._admit(request, self._faults.faults_of_next_request(path))
         if response is not None:
@@ -306,7 +306,7 @@
             "n_runs": n_runs,
             "request_digest": xxhash.xxh64_hexdigest(request.body),
         }
-        body = encode_answer(fields, self.settings.answer_bytes)
+        body = encode_response_body(fields, self.settings.answer_bytes)
         response = self._work_response(
             200, [(b"x-request-id", request_id.encode())], body
         )
--- a/pollenfold/testing/control.py
+++ b/pollenfold/testing/control.py
@@ -21,7 +21,7 @@
 TOKEN = "test-token"
 
 
-class ControlFake:
+class FakeControlReplica:
     """Serves leases and the operator interface on ports chosen by the kernel.
 
     ``peers`` and ``operators`` map replica ids to addresses; replicas that share
@@ -59,12 +59,12 @@
         self._tasks: list[curio.Task] = []
 
     @property
-    def address(self) -> tuple[str, int]:
+    def peer_address(self) -> tuple[str, int]:
         """Address for calls of peers and entries."""
         return self.peers[self.replica_id]
 
     @property
-    def operator(self) -> tuple[str, int]:
+    def operator_address(self) -> tuple[str, int]:
         """Address of the operator interface."""
         host, _, port = self.operators[self.replica_id].rpartition(":")
         return host, int(port)
--- a/pollenfold/testing/fault_http.py
+++ b/pollenfold/testing/fault_http.py
@@ -11,8 +11,8 @@
 
 from ..http.caller import CallerConnection
 from ..http.messages import Request, Response
-from ..http.readiness import is_closed_by_peer
 from ..http.server import HttpServer
+from ..http.socket_state import is_closed_by_peer
 from .faults import FaultKind
 
 
--- a/pollenfold/testing/faults.py
+++ b/pollenfold/testing/faults.py
@@ -78,7 +78,7 @@
     value: int = Field(default=0, ge=0)
 
 
-class FaultOrder(BaseModel):
+class FaultUpdate(BaseModel):
     """Body of ``POST /stand-in/faults``: a new fault table, actions, or both."""
 
     model_config = ConfigDict(extra="forbid")
--- a/pollenfold/testing/gossip.py
+++ b/pollenfold/testing/gossip.py
@@ -50,7 +50,7 @@
     def _peers_of(self, index: int) -> Callable[[], dict[str, LocalPeer]]:
         return lambda: {str(n): p for n, p in enumerate(self.peers) if n != index}
 
-    def serving(self, service: str) -> list[tuple[Endpoint, ...]]:
+    def serving_endpoints(self, service: str) -> list[tuple[Endpoint, ...]]:
         """Return, for each entry, the endpoints of the service in its table."""
         return [table.endpoints(service) for table in self.tables]
 
--- a/pollenfold/testing/ledger.py
+++ b/pollenfold/testing/ledger.py
@@ -104,7 +104,7 @@
         self._create_replica(name)
         self._stopped.discard(name)
 
-    async def crash_in_write(self, name: str) -> None:
+    async def restart_with_torn_entry(self, name: str) -> None:
         """Restart a replica with an incomplete entry at the end of its journal."""
         await self.stop(name)
         with (self.folder(name) / "registers").open("ab") as journal:
@@ -140,7 +140,7 @@
         """Let a suspended replica handle the requests that it held."""
         await self._gates[name].set()
 
-    async def delay_kept(self, name: str) -> curio.Event:
+    async def resume_for_new_requests(self, name: str) -> curio.Event:
         """Let a suspended replica handle new requests but not those it holds; return
         the event that releases the held ones."""
         gate = self._gates[name]
@@ -163,6 +163,6 @@
             if name in self._isolated:
                 await curio.sleep(3600)
             await gate.wait()
-            return await self.replicas[name].answer(payload)
+            return await self.replicas[name].handle_request(payload)
 
         return handle
--- a/pollenfold/testing/cuts.py
+++ b/pollenfold/testing/partitions.py
@@ -1,10 +1,10 @@
 """Runs the ``pollenfold`` program with simulated network partitions of its RPCs.
 
-``python -m pollenfold.testing.cuts FILE entry --entry-id=e1 ...`` runs ``pollenfold
-entry --entry-id=e1 ...``. Each line of FILE is an address prefix: RPCs to hosts that
-match it get no response as long as the line is in the file. With the line ``inbound``,
-RPCs from other processes get no response. HTTP requests of callers and announcements
-aren't affected.
+``python -m pollenfold.testing.partitions FILE entry --entry-id=e1 ...`` runs
+``pollenfold entry --entry-id=e1 ...``. Each line of FILE is an address prefix: RPCs to
+hosts that match it get no response as long as the line is in the file. With the line
+``inbound``, RPCs from other processes get no response. HTTP requests of callers and
+announcements aren't affected.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 def install_partitions(path: Path) -> None:
     """Patch the RPC client and server of this process to apply the file."""
     original_call = RpcClient.call
-    original_answer = RpcServer._answer
+    original_handler = RpcServer._handle_request
 
     def is_partitioned(client: RpcClient) -> bool:
         prefixes = read_partitions(path) - {INBOUND}
@@ -51,12 +51,12 @@
         await curio.sleep(timeout_ms / 1000)
         return Error(ErrorKind.UNREACHABLE)
 
-    async def partitioned_answer(self, *args):  # type: ignore[no-untyped-def]
+    async def partitioned_handler(self, *args):  # type: ignore[no-untyped-def]
         if INBOUND not in read_partitions(path):
-            await original_answer(self, *args)
+            await original_handler(self, *args)
 
     RpcClient.call = partitioned_call  # type: ignore[method-assign]
-    RpcServer._answer = partitioned_answer  # type: ignore[method-assign]
+    RpcServer._handle_request = partitioned_handler  # type: ignore[method-assign]
 
 
 if __name__ == "__main__":
--- a/pollenfold/testing/replica.py
+++ b/pollenfold/testing/replica.py
@@ -16,8 +16,8 @@
 class FakeReplica:
     """Replaces ``control.replica.Replica``; it is leader until ``follow`` is called.
 
-    ``lost`` makes ``propose`` return ``NO_QUORUM`` although the command is applied,
-    as for a leader whose acknowledgements are lost.
+    ``loses_confirmations`` makes ``propose`` return ``NO_QUORUM`` although the command
+    is applied, as for a leader whose acknowledgements are lost.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
     ) -> None:
         self.replica_id = replica_id
         self.commands: list[bytes] = []
-        self.lost = False
+        self.loses_confirmations = False
         self._apply = apply
         self._clock = clock
         self._leader_id: str | None = replica_id
@@ -70,7 +70,7 @@
             return Error(ErrorKind.NOT_LEADER)
         self.commands.append(command)
         self._apply(len(self.commands), command)
-        if self.lost:
+        if self.loses_confirmations:
             return Error(ErrorKind.NO_QUORUM)
         return Ok(len(self.commands))
 
--- a/pollenfold/testing/answers.py
+++ b/pollenfold/testing/response_bodies.py
@@ -10,7 +10,7 @@
 _DIGEST_FIELD = b', "digest": "'
 
 
-def encode_answer(fields: dict[str, Any], n_bytes: int = 0) -> bytes:
+def encode_response_body(fields: dict[str, Any], n_bytes: int = 0) -> bytes:
     """Encode the fields as JSON whose last field is a digest of all bytes before it.
 
     A ``padding`` field is added if the JSON without the digest would be shorter than
@@ -23,7 +23,7 @@
     return prefix + _DIGEST_FIELD + xxhash.xxh64_hexdigest(prefix).encode() + b'"}'
 
 
-def check_answer(body: bytes, request_id: str = "", key: str = "") -> str | None:
+def check_response_body(body: bytes, request_id: str = "", key: str = "") -> str | None:
     """Return why a response body is invalid, or None if it is complete and matches.
 
     A request with an idempotency key may get the response to an earlier attempt, so
--- a/pollenfold/tests/benchmarks/test_ablation.py
+++ b/pollenfold/tests/benchmarks/test_ablation.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from benchmarks.ablation import ROOT, chosen, load_mechanisms
+from benchmarks.ablation import ROOT, load_mechanisms, select_mechanisms
 
 MECHANISMS = load_mechanisms()
 
@@ -25,4 +25,4 @@
 def test_unknown_name_is_refused():
     """Guards against a misspelt name that selects all mechanisms."""
     with pytest.raises(ValueError, match="unknown: pennalties"):
-        chosen(["pennalties"], MECHANISMS)
+        select_mechanisms(["pennalties"], MECHANISMS)
