--- a/pollenfold/control/cluster.py
+++ b/pollenfold/control/cluster.py
@@ -34,7 +34,7 @@
 JOIN_INTERVAL_MS = 400.0
 JOIN_TIMEOUT_MS = 400.0
 LEADER_TIMEOUT_MS = 1_000.0
-"""Without contact to a leader for this long, a replica asks the others to rejoin."""
+"""A replica without contact to a leader for this long sends join requests again."""
 
 CACHE_INTERVAL_MS = 1_000.0
 STOP_WAIT_MS = 1_500.0
@@ -66,7 +66,7 @@
 
 
 class ClusterNode:
-    """Wires up the components of one control replica."""
+    """One control replica: connects its components and joins its cluster."""
 
     def __init__(self, settings: ClusterSettings) -> None:
         """Open the data folder; raise OSError when that fails."""
--- a/pollenfold/control/daemon.py
+++ b/pollenfold/control/daemon.py
@@ -68,7 +68,7 @@
 
 
 class _Daemon:
-    """Wires up the components of one control replica."""
+    """Creates and connects the components of one control replica."""
 
     def __init__(self, settings: ControlSettings, replica_type: type[Any]) -> None:
         self.state = ControlState(system_clock)
--- a/pollenfold/control/feed_server.py
+++ b/pollenfold/control/feed_server.py
@@ -311,7 +311,7 @@
     def _flush(self, subscriber: _Subscriber) -> None:
         if not subscriber.send(self._clock()):
             self._subscribers.discard(subscriber)
-            # Wakes the task that reads from this connection; it then closes it.
+            # Wakes the task that reads from this connection, which then closes it.
             try:
                 subscriber.client._socket.shutdown(socket.SHUT_RDWR)
             except OSError:
--- a/pollenfold/control/leases.py
+++ b/pollenfold/control/leases.py
@@ -80,8 +80,8 @@
         revision = self._state.configuration.revision
         max_entries, limit_revision = self._state.max_entries()
         if request.acknowledged > revision:
-            # A barrier is committed before each leadership, so the entry belongs to
-            # another system, or this system lost accepted changes.
+            # A leader has every accepted change, since it applies a barrier first. So
+            # the entry belongs to another system, or accepted changes were lost.
             detail = f"got revision {request.acknowledged}, expected at most {revision}"
             return Failure(ErrorKind.BAD_REQUEST, detail)
         admits_new = directory.in_force_revision(revision, now) >= limit_revision
--- a/pollenfold/control/order_book.py
+++ b/pollenfold/control/order_book.py
@@ -79,8 +79,8 @@
         self.announced_ids: set[str] = set()
         self.relayed_ids: set[str] = set()
         """Endpoints that announced themselves again to other replicas; sent to entries
-        only, since replicas that relayed them to each other would keep a dead endpoint
-        alive forever."""
+        only, since replicas that relayed them to each other would never let a
+        stopped endpoint expire."""
 
         self.replica: Replica
         self.on_change: Callable[[], None] = lambda: None
@@ -275,7 +275,7 @@
             client = self._clients[address] = RpcClient(*address)
         result = await client.call(protocol, payload, timeout_ms)
         if result.is_error():
-            # The connection may be half-open: dead without a reset.
+            # The connection may be half-open: lost without a reset.
             await client.close()
         return result
 
--- a/pollenfold/control/replica.py
+++ b/pollenfold/control/replica.py
@@ -189,7 +189,7 @@
             "snapshot_index": state.log.snapshot.index,
         }
 
-    # Entry points
+    # Requests and the run loop
 
     async def handle(self, payload: bytes) -> bytes:
         """Handle a message of another replica; return its response, or no bytes."""
@@ -205,7 +205,7 @@
         return encode_message(responses[0]) if responses else b""
 
     def join(self, replica_id: str) -> None:
-        """Add a replica as a learner, which receives the log from this leader."""
+        """Add a replica as a learner: it receives the log but doesn't vote yet."""
         self._outbox += self._step(Join(replica_id))
 
     def _change_members(self) -> None:
--- a/pollenfold/core/admission.py
+++ b/pollenfold/core/admission.py
@@ -38,6 +38,7 @@
     left_ms = remaining_ms(deadline, now)
     if left_ms <= 0.0:
         return Error(ErrorKind.DEADLINE_EXCEEDED)
+    # Without slots or a measured service time the wait can't be estimated.
     if n_slots > 0 and service_ms > 0.0:
         wait_ms = expected_wait_ms(n_waiting, n_slots, service_ms)
         if wait_ms + service_ms > left_ms:
--- a/pollenfold/core/agreement_members.py
+++ b/pollenfold/core/agreement_members.py
@@ -168,7 +168,10 @@
 
 
 def _longest_unresponsive_voter(state: State, now: Instant) -> str | None:
-    """Return the voter to remove, if the others still form a majority without it."""
+    """Return the voter that has been unresponsive longest, or None.
+
+    None also if the responsive voters would be no majority of the remaining ones.
+    """
     unresponsive = [
         (state.progress[k].last_contact_at, k)
         for k in state.voters - {state.replica_id}
--- a/pollenfold/core/agreement_messages.py
+++ b/pollenfold/core/agreement_messages.py
@@ -188,7 +188,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistJoined:
-    """Store that this incarnation is no longer blank."""
+    """Store that this incarnation has joined: it isn't blank and may vote."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -207,7 +207,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Restore:
-    """Replace the state machine by a snapshot received from the leader."""
+    """Replace the state machine with a snapshot received from the leader.
+
+    ``index`` is that of the last log entry that the snapshot covers.
+    """
 
     index: int
     data: bytes
--- a/pollenfold/core/agreement_rejoin.py
+++ b/pollenfold/core/agreement_rejoin.py
@@ -28,7 +28,7 @@
 from .clock import Instant, add_ms
 
 BLANK_WAIT_MS = 1.25 * ELECTION_TIMEOUT_MAX_MS
-"""Terms reported in rounds that start earlier than this after the start are ignored.
+"""A replica ignores the terms from rounds that start in its first ``BLANK_WAIT_MS``.
 
 A candidate may still count a vote of the earlier incarnation while another voter
 reports its old term and votes afterwards. That candidacy has ended after the longest
--- a/pollenfold/core/agreement_state.py
+++ b/pollenfold/core/agreement_state.py
@@ -77,8 +77,9 @@
     log and don't vote. No vote is granted in a term up to ``vote_floor``.
     ``heard_at`` is when a message from a leader was last received, or the start of
     the replica: it may have acknowledged a leader just before a restart, and must not
-    vote for another one until the shortest election timeout has passed. ``wake_at``
-    is when the next tick is due.
+    vote for another one until the shortest election timeout has passed. With
+    ``is_dynamic`` it starts earlier by that timeout, so a restarted replica may vote
+    immediately. ``wake_at`` is when the next tick is due.
     """
 
     replica_id: str
--- a/pollenfold/core/allowances.py
+++ b/pollenfold/core/allowances.py
@@ -66,13 +66,13 @@
 
 
 class RetryAllowance:
-    """This entry's share of the extra sends of one service.
+    """This entry's share of the retries to one service.
 
     In any window all entries together may send ``ratio`` times the requests for the
-    service plus ``n_extra``. The share of an entry is ``ratio`` times its own requests
-    plus its share of ``n_extra``, reduced by ``SAFETY_FACTOR``. For example, with a
-    ratio of 0.2, 64 extra sends and 16 entries, an entry that received 100 requests
-    in the window may send 0.8 * (20 + 4) = 19 extra ones.
+    service plus ``n_extra`` as retries. The share of an entry is ``ratio`` times its
+    own requests plus its share of ``n_extra``, reduced by ``SAFETY_FACTOR``. For
+    example, with a ratio of 0.2, 64 extra retries and 16 entries, an entry that
+    received 100 requests in the window may send 0.8 * (20 + 4) = 19 retries.
     """
 
     def __init__(self, ratio: float, n_extra: float, window_ms: float) -> None:
@@ -86,7 +86,7 @@
         self._requests.add(now)
 
     def take(self, n_entries: int, now: Instant) -> bool:
-        """Count one extra send and return True, or return False above the share."""
+        """Count one retry and return True, or return False above the share."""
         share = self._ratio * self._requests.get(now) + self._n_extra / n_entries
         if self._extra.get(now) + 1 > SAFETY_FACTOR * share:
             return False
@@ -95,7 +95,11 @@
 
 
 def cold_rate_limit(rate_per_s: float, burst_factor: float, slack: float) -> float:
-    """Return how many requests a cold endpoint may receive in any one second."""
+    """Return how many requests a cold endpoint may receive in any one second.
+
+    ``burst_factor`` multiplies the configured rate, and ``slack`` is a number of
+    requests allowed in addition.
+    """
     return rate_per_s * burst_factor + slack
 
 
--- a/pollenfold/core/claims.py
+++ b/pollenfold/core/claims.py
@@ -1,7 +1,7 @@
 """The claimant's side of a register: claim, abandon, complete.
 
 An ``Operation`` takes events (``start``, ``on_reply``, ``on_failure``, ``resume``)
-and returns the next action. It never looks at a clock and sends nothing itself.
+and returns the next action. It reads no clock and sends nothing itself.
 
 **Why at most one claim is dispatched.** A claimant dispatches in two cases only: a
 majority granted its claim at ballot 0, or a majority granted an *accept* of its claim
@@ -11,7 +11,7 @@
 Two claims can't both have a majority at ballot 0, since a replica votes once. If a
 claim had a majority there, then in every later majority of promises its votes plus
 the replicas that did not respond add up to a majority, so recovery keeps the claim or
-returns an in-doubt value; in doubt no claim is proposed. A higher ballot proposes the
+returns an in-doubt value, for which no claim is proposed. A higher ballot proposes the
 claimant's own claim only when the register is recovered as empty or abandoned, or
 when it holds that very claim; the claimant has not dispatched at that time, because
 it stops counting its votes at ballot 0 before it prepares. For the same reason it
--- a/pollenfold/core/configuration.py
+++ b/pollenfold/core/configuration.py
@@ -253,6 +253,7 @@
             fleet = spec
         elif spec.is_drained:
             drained.add(spec.name)
+    # ``find_service`` returns the first match, so longer prefixes come first.
     services.sort(key=lambda service: (-len(service.path_prefix), service.name))
     return ConfigurationView(
         revision, tuple(services), zones, fleet, frozenset(drained)
@@ -260,5 +261,5 @@
 
 
 def record_key(kind: RecordKind, name: str) -> RecordKey:
-    """Return the key of a record in the state."""
+    """Return the key of a record: its kind and name."""
     return kind.value, name
--- a/pollenfold/core/directory.py
+++ b/pollenfold/core/directory.py
@@ -60,7 +60,7 @@
 
 
 class LeaveNotices:
-    """The latest leave notice of each endpoint, kept for 60 s.
+    """The latest leave notice of each endpoint, kept for ``NOTICE_RETENTION_MS``.
 
     Each new notice gets the next sequence number.
     """
@@ -70,7 +70,11 @@
         self.sequence = 0
 
     def add(self, notice: LeaveNotice, age_ms: float, now: Instant) -> bool:
-        """Store a notice of the given age; return whether it is new."""
+        """Store a notice of the given age; return whether it was stored.
+
+        A notice is ignored if its age is out of range, or if one of the same or a later
+        incarnation of the endpoint is stored.
+        """
         if not 0 <= age_ms < NOTICE_RETENTION_MS:
             return False
         previous = self._notices.get(notice.endpoint)
--- a/pollenfold/core/membership.py
+++ b/pollenfold/core/membership.py
@@ -1,7 +1,7 @@
 """The endpoint table of an entry: incarnation, state, heartbeat counter, merge.
 
-Every entry holds one table. Announcements, table entries from peers and leave notices
-are merged into it in any order; two tables that have merged the same entries hold the
+Every entry holds one table. Announcements, table records from peers and leave notices
+are merged into it in any order; two tables that have merged the same ones hold the
 same endpoints. Each entry decides for itself when an endpoint has expired.
 """
 
@@ -43,7 +43,7 @@
     """Only the heartbeat counter increased; digest exchanges distribute this."""
 
     CHANGED = "changed"
-    """The entry should be sent to peers immediately."""
+    """The record should be sent to peers immediately."""
 
     LEFT = "left"
     """The endpoint started leaving; peers and the control leader must be notified."""
@@ -66,7 +66,7 @@
 class Difference:
     """The response of a table to the digest of another one.
 
-    ``buckets`` differ, and ``entries`` are all entries in them. ``heartbeats`` are
+    ``buckets`` differ, and ``entries`` are all records in them. ``heartbeats`` are
     the counters of the equal buckets, in ascending order of the bucket.
     """
 
@@ -76,7 +76,7 @@
 
 
 class _Record:
-    """A table entry. The heartbeat counter is stored separately, so that a renewal
+    """A table record. The heartbeat counter is stored separately, so that a renewal
     does not replace the endpoint object used for routing."""
 
     __slots__ = ("endpoint", "heartbeat", "updated_at", "is_expired", "fingerprint")
@@ -157,7 +157,8 @@
 
     For example, ``table.merge(endpoint, now)`` merges an announcement, and
     ``table.endpoints("pearl-market")`` returns the serving endpoints. ``expire`` must
-    be called about once a second.
+    be called about once a second, since an endpoint past its TTL is returned until
+    then.
     """
 
     def __init__(self) -> None:
@@ -194,7 +195,7 @@
     def merge(
         self, endpoint: Endpoint, now: Instant, age_ms: float = 0.0
     ) -> MergeOutcome:
-        """Merge an announcement, or a table entry from a peer with its age."""
+        """Merge an announcement, or a table record from a peer with its age."""
         key = endpoint.key
         updated_at = Instant(now - age_ms)
         record = self._services.get(key.service, {}).get(key)
@@ -249,7 +250,7 @@
         return self.merge(leaving, now)
 
     def leave_notices(self, now: Instant) -> tuple[LeaveNotice, ...]:
-        """Return the leave notices of the last 60 s, for the next lease renewal."""
+        """Return the leave notices that the next lease renewal repeats."""
         return tuple(
             LeaveNotice(*record.endpoint.key, record.endpoint.incarnation)
             for record in self._records()
@@ -275,7 +276,7 @@
         return tuple(expired)
 
     def entries(self, now: Instant, buckets: Iterable[int]) -> Iterator[AgedEndpoint]:
-        """Yield the entries of the buckets that are exchanged with peers."""
+        """Yield the records of the buckets that are exchanged with peers."""
         for index in buckets:
             for record in self._buckets[index].ordered():
                 yield AgedEndpoint(record.current(), max(0.0, now - record.updated_at))
@@ -290,9 +291,9 @@
     def difference(
         self, digest: Digest, now: Instant, max_entries: int = 2000
     ) -> Difference:
-        """Return the entries and counters that the sender of a digest may lack.
+        """Return the records and counters that the sender of a digest may lack.
 
-        About ``max_entries`` entries are returned at most; the remaining buckets
+        About ``max_entries`` records are returned at most; the remaining buckets
         follow in the next exchange.
         """
         differing: list[int] = []
@@ -373,7 +374,7 @@
 
     @staticmethod
     def _is_outdated(endpoint: Endpoint, age_ms: float) -> bool:
-        """Return whether the sender was about to expire or remove the entry."""
+        """Return whether the sender was about to expire or remove the record."""
         return age_ms > (RETENTION_MS if endpoint.is_leaving else endpoint.ttl_ms)
 
     def _records(self) -> Iterator[_Record]:
--- a/pollenfold/core/retries.py
+++ b/pollenfold/core/retries.py
@@ -7,9 +7,10 @@
 
 
 def may_retry(outcome: AttemptOutcome, request_class: RequestClass) -> bool:
-    """Return whether a retry can't execute a non-idempotent request twice.
+    """Return whether a request may be retried after an attempt with this outcome.
 
-    A non-idempotent request is retried only if it provably never started.
+    A non-idempotent request is retried only if it provably never started, so that it
+    isn't executed twice.
     """
     if outcome in (AttemptOutcome.NOT_STARTED, AttemptOutcome.UNREACHABLE):
         return True
--- a/pollenfold/core/routes.py
+++ b/pollenfold/core/routes.py
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingConfiguration:
-    """Routes by lower-case host, ordered by falling prefix length, and services."""
+    """Routes by lower-case host, the longest prefix first, and services by name."""
 
     version: int = 0
     hosts: dict[str, tuple[Route, ...]] = field(default_factory=dict)
@@ -92,9 +92,11 @@
 class WeightedSplit:
     """Distributes the requests of each route over its services by weight.
 
-    Smooth weighted round robin keeps the shares exact over short spans too, so a check
-    of the shares over few requests holds. The credits of a route are kept under its
-    name and reset when its services or weights change.
+    Smooth weighted round robin also keeps the shares exact over short spans, so they
+    can be checked with few requests. For each request the credit of every service rises
+    by its weight; the service with the highest credit is selected, and its credit is
+    reduced by the sum of the weights. The credits of a route are kept under its name
+    and reset when its services or weights change.
     """
 
     def __init__(self) -> None:
--- a/pollenfold/core/warming.py
+++ b/pollenfold/core/warming.py
@@ -257,7 +257,7 @@
             endpoint.incarnation == before.incarnation
             and endpoint.warm.merge_key() < before.warm.merge_key()
         ):
-            # The table has not merged a change of ``record`` yet.
+            # ``record`` returned a warm state that the table has not merged yet.
             endpoint = before
         self._by_id.pop(id(before), None)
         is_same = _is_same_warm_up(endpoint, before)
@@ -289,6 +289,8 @@
             state.limit = 0
         else:
             state.limit = min(state.ramp_limit, state.slots)
+            # The previous owner may send until its lease ends, and its last request may
+            # take ``timeout_ms``.
             wait_ms = self._lease_ms + state.spec.timeout_ms
             state.ready_at = state.ownership.owned_since + wait_ms
 
--- a/pollenfold/entry/actions.py
+++ b/pollenfold/entry/actions.py
@@ -1,4 +1,4 @@
-"""Executes each non-idempotent request under one claim in the ledger."""
+"""Executes each non-idempotent request, an *action*, under one claim in the ledger."""
 
 from __future__ import annotations
 
@@ -64,8 +64,9 @@
     ) -> Response:
         """Execute a request at most once and return its final response.
 
-        ``dispatch`` is called at most once, and only after a majority of the ledger
-        has stored the claim.
+        ``is_callers_key`` is whether the caller chose the key, so that an earlier
+        request may have used it. ``dispatch`` is called at most once, and only after a
+        majority of the ledger has stored the claim.
         """
         if self._n_claiming >= MAX_CLAIMS_IN_FLIGHT:
             return _overload_response(key, is_callers_key)
@@ -181,7 +182,7 @@
 def _overload_response(key: bytes, is_callers_key: bool) -> Response:
     """Refuse a request without sending a claim to the ledger.
 
-    An earlier request with the same caller's key may have run.
+    If the caller chose the key, an earlier request with it may have run.
     """
     state = RunState.OUTCOME_UNKNOWN if is_callers_key else RunState.DID_NOT_RUN
     response = error_response(ErrorKind.LEDGER_UNAVAILABLE, run_state=state.value)
--- a/pollenfold/entry/configuration.py
+++ b/pollenfold/entry/configuration.py
@@ -43,7 +43,10 @@
 
 
 def _start_incarnation() -> int:
-    """Return a number that is higher for every later process on this VM."""
+    """Return a number that is higher for every later process on this VM.
+
+    This holds unless the wall clock is set back.
+    """
     return time.time_ns() // 1_000_000
 
 
--- a/pollenfold/entry/health.py
+++ b/pollenfold/entry/health.py
@@ -120,7 +120,7 @@
         latency_ms: float,
         was_requested: bool = True,
     ) -> LoadReport | None:
-        """Record an attempt that ended; ``result`` is None for a cancelled one.
+        """Record an attempt that ended; ``result`` is None if it was cancelled.
 
         ``was_requested`` is whether the request asked for a load report. Return the
         load report of the response, if it has a valid one.
--- a/pollenfold/entry/proxy.py
+++ b/pollenfold/entry/proxy.py
@@ -140,6 +140,8 @@
                 forwarded.headers.append((IDEMPOTENCY_KEY, key))
             return forwarded
         if caller_key is None:
+            # No earlier request has this new key, so the request certainly didn't run
+            # and may be refused without a claim.
             kind = runtime.slots.refusal(deadline)
             if kind is not None:
                 retry_after_s = runtime.slots.retry_after_s()
--- a/pollenfold/entry/refresher.py
+++ b/pollenfold/entry/refresher.py
@@ -27,8 +27,9 @@
 class Refresher:
     """Applies changes to the services of an entry.
 
-    Other modules call ``wake`` when something changed. ``refreshed_at`` is the start of
-    the last completed pass.
+    Other modules call ``wake`` when something changed. ``apply_notices`` merges the
+    leave notices from control into the endpoint table. ``refreshed_at`` is the start
+    of the last completed pass.
     """
 
     def __init__(
@@ -53,7 +54,11 @@
         self._is_changed = True
 
     async def run(self) -> None:
-        """Refresh at the next tick after a change, else at each interval."""
+        """Refresh until cancelled.
+
+        A pass follows within ``TICK_MS`` of a change, and after ``REFRESH_INTERVAL_MS``
+        without one.
+        """
         while True:
             await self.refresh()
             for _ in range(int(REFRESH_INTERVAL_MS / TICK_MS)):
--- a/pollenfold/entry/services.py
+++ b/pollenfold/entry/services.py
@@ -33,8 +33,8 @@
 class ServiceRuntime:
     """One service: its queue for slots, its endpoints, its retry and hedge budgets.
 
-    ``warmup_owners`` are the entries that may send requests to cold endpoints that this
-    entry must not use until they are warm.
+    Only its warm-up owner may send requests to a cold endpoint. ``warmup_owners`` are
+    the owners of the endpoints that this entry must not use.
     """
 
     def __init__(
--- a/pollenfold/gateway/answers.py
+++ b/pollenfold/gateway/answers.py
@@ -109,7 +109,7 @@
         """End a call whose caller didn't send its whole body.
 
         Part of the body has reached a backend server, so the response must not claim
-        that the request was not executed. Returns None when the caller is gone.
+        that the request was not executed. Return None when the caller is gone.
         """
         if kind is ErrorKind.TRUNCATED_BODY:
             self.finish(call, 0, "caller_gone")
--- a/pollenfold/gateway/calls.py
+++ b/pollenfold/gateway/calls.py
@@ -53,6 +53,8 @@
     decision_trace: list[str] = field(default_factory=list)
     last_response: Response | None = None
     may_have_executed: bool = False
+    """Whether an endpoint may have executed the request, in any attempt so far."""
+
     sent_at: Instant = Instant(0.0)
     """When the last attempt finished sending the request."""
 
@@ -60,10 +62,15 @@
     """The time until the first endpoint's back-off ends, if all are backing off."""
 
     is_body_streamed: bool = False
-    """Whether a part of a long body was passed on that is no longer in memory."""
+    """Whether the rest of a long body was read, to be forwarded: the request can't be
+    sent again, since that part isn't kept in memory."""
 
     def may_have_executed_before(self) -> bool:
-        """Return whether an earlier attempt may have executed the request."""
+        """Return whether an earlier attempt may have executed the request.
+
+        Unlike ``may_have_executed`` this leaves out the attempt in progress, which
+        isn't in ``attempts`` yet.
+        """
         return any(
             attempt.outcome not in NOT_EXECUTED_OUTCOMES for attempt in self.attempts
         )
@@ -78,7 +85,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryLimits:
-    """The limit on retries to a service from all entries together in a window."""
+    """Limits the retries that all entries together may send to one service.
+
+    In any window of ``window_ms`` the limit is ``ratio`` times the requests for the
+    service, plus ``n_extra``.
+    """
 
     ratio: float
     n_extra: float
--- a/pollenfold/gateway/feed.py
+++ b/pollenfold/gateway/feed.py
@@ -23,9 +23,9 @@
     ``requested_index`` is the highest index for which the replicated state was
     requested. ``zone`` is the zone of the replica, known from its first line;
     ``n_endpoints`` is how many endpoints the replica knew at that time, or None when it
-    didn't report a number. ``no_majority_since`` is since when the replica receives
-    from no majority of the replicas, ``complete_since`` since when it receives from all
-    others.
+    didn't report a number. ``no_majority_since`` is when the replica lost contact
+    with a majority of the replicas, or None. ``complete_since`` is when it last came
+    into contact with all others, or None if one is missing.
     """
 
     def __init__(self, sock: socket.socket) -> None:
--- a/pollenfold/gateway/feeds.py
+++ b/pollenfold/gateway/feeds.py
@@ -34,7 +34,7 @@
 missing."""
 
 READ_TIMEOUT_MS = 1_500.0
-"""Three missed lines; then the subscriber reconnects, since a connection may be dead
+"""Three missed lines; then the subscriber reconnects, since a connection may be lost
 without a reset."""
 
 SPARSE_READ_TIMEOUT_MS = 3_000.0
@@ -251,6 +251,7 @@
 
     def _read_timeout_ms(self, host: str) -> float:
         """Return how long the replica may send nothing before the feed is closed."""
+        # Control replicas get all updates from each other.
         gets_all_updates = host == self._source or self._identity.role != "entry"
         return READ_TIMEOUT_MS if gets_all_updates else SPARSE_READ_TIMEOUT_MS
 
--- a/pollenfold/http/caller.py
+++ b/pollenfold/http/caller.py
@@ -126,7 +126,7 @@
     async def close_if_idle(self) -> None:
         """Close the connection unless a request is pending or bytes are unread."""
         if not self.is_busy and not is_readable(self._client.fileno()):
-            # Reading stops here: a request that crosses the close stays unread, so its
+            # Reading stops here: a request that arrives later stays unread, so its
             # caller may safely retry it.
             self._is_closing = True
             await self._client.shutdown(socket.SHUT_RD)
--- a/pollenfold/http/request_reader.py
+++ b/pollenfold/http/request_reader.py
@@ -42,8 +42,9 @@
     """Size limits and timeouts for requests from callers.
 
     ``head_timeout_ms`` counts from the first byte of a request to the end of its head,
-    ``idle_timeout_ms`` while nothing arrives. ``announced_idle_s`` is the idle timeout
-    that responses announce in ``Keep-Alive``; 0 omits the header.
+    ``idle_timeout_ms`` while nothing arrives. The latter also limits how long a body
+    waits for memory. ``announced_idle_s`` is the idle timeout that responses announce
+    in ``Keep-Alive``; 0 omits the header.
     """
 
     body_bytes: int = 1 << 20
@@ -146,7 +147,10 @@
             await self._budget.release(n_reserved)
 
     async def _reserve(self, n_bytes: int) -> None:
-        """Reserve memory from the budget shared by all bodies, waiting if needed."""
+        """Reserve memory from the budget shared by all bodies, waiting if needed.
+
+        Raise RequestError if it isn't granted within ``idle_timeout_ms``.
+        """
         try:
             async with curio.timeout_after(self._limits.idle_timeout_ms / 1000):
                 self._n_reserved = await self._budget.reserve(n_bytes)
--- a/pollenfold/http/server.py
+++ b/pollenfold/http/server.py
@@ -90,7 +90,7 @@
         return self._traffic.n_in_flight
 
     async def start(self, host: str, port: int) -> int:
-        """Listen on the address and return the port, which the kernel chooses for 0."""
+        """Listen on the address and return the port; 0 lets the kernel choose one."""
         return await self.start_on(open_listener(host, port))
 
     async def start_on(self, listener: sockets.socket) -> int:
@@ -102,11 +102,14 @@
         return int(listener.getsockname()[1])
 
     def announce_stop(self) -> None:
-        """Close each connection after its last response, and continue accepting."""
+        """Close each connection after the next response that leaves no request pending.
+
+        New connections are still accepted.
+        """
         self._traffic.is_stopping = True
 
     async def stop(self) -> None:
-        """Close the listener and the connections without a request.
+        """Close the listener and the idle connections.
 
         A connection in the kernel's accept queue may carry a request, so it is
         accepted first and given ``FIRST_REQUEST_WAIT_MS`` to send it.
--- a/pollenfold/ledger/store.py
+++ b/pollenfold/ledger/store.py
@@ -43,6 +43,7 @@
     replica reported. ``wall_clock`` is used for ages because they must survive a
     restart, unlike the monotonic clock. Registers are held in memory in the encoding
     of the journal, which takes much less memory than decoded ones.
+    ``founders`` holds the incarnations of the replicas that formed the cluster.
     """
 
     def __init__(self, folder: Path, n_replicas: int, wall_clock: Clock) -> None:
@@ -78,7 +79,7 @@
         return BLANK_REGISTER if is_expired else register
 
     def keys(self) -> list[str]:
-        """Return all keys."""
+        """Return the keys of all stored registers, also of expired ones."""
         return list(self._registers)
 
     def put(self, key: str, register: Register) -> None:
--- a/pollenfold/observe/events.py
+++ b/pollenfold/observe/events.py
@@ -89,7 +89,10 @@
             self._append(f"event={event} {pairs}".rstrip())
 
     def _admit_line(self, bucket: str) -> bool:
-        """Apply the limits and return whether to add a line; log the dropped count."""
+        """Return whether the limits admit a line.
+
+        Before the first one after a drop, log how many were dropped.
+        """
         is_full = len(self._buffer) > MAX_BUFFER_BYTES
         if is_full or not self._buckets[bucket].try_take(1.0, self._clock()):
             self.n_dropped += 1
--- a/pollenfold/platform/settings.py
+++ b/pollenfold/platform/settings.py
@@ -28,7 +28,8 @@
     it. ``seeds`` are addresses of control replicas; connections between processes use
     only their hosts. ``link_bytes_per_ms`` is the bandwidth of the VM's network link,
     0 when the file doesn't give it. ``is_first_start`` is true only while the whole
-    system starts for the first time.
+    system starts for the first time. ``bounds`` holds the limits agreed with the
+    platform; a value that isn't a number is ignored.
     """
 
     name: str
--- a/pollenfold/records/parsing.py
+++ b/pollenfold/records/parsing.py
@@ -15,12 +15,13 @@
 from .models import LATEST_SCHEMA_VERSION, SPEC_MODELS, EnvelopeModel
 
 MAX_RECORD_BYTES = 64 * 1024
-"""Well below the size of a frame, which carries a record to replicas and entries."""
+"""Well below the size of a frame, since a record must fit into one frame on its way to
+replicas and entries."""
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedRecord:
-    """A valid record: its fields as written, and its spec in the form of the core.
+    """A valid record: its fields as written, and its spec as a ``core.records`` class.
 
     ``unknown_fields`` names the fields that this process doesn't know; they are kept
     in ``fields``.
--- a/pollenfold/storage/identity.py
+++ b/pollenfold/storage/identity.py
@@ -18,7 +18,8 @@
 
     ``incarnation`` is generated for every empty data folder, so peers can distinguish
     a replica that lost its disk from its earlier incarnation. ``is_blank`` is true
-    until ``mark_joined`` was called for this folder: a blank replica must not vote.
+    until ``mark_joined`` has been called for this folder: a blank replica must not
+    vote.
     """
 
     replica_id: str
--- a/pollenfold/storage/journal.py
+++ b/pollenfold/storage/journal.py
@@ -49,10 +49,11 @@
 class Journal:
     """Entries of bytes in one file, each with its length and checksum.
 
-    A torn entry at the end, left by a crash during a write, is truncated when the
-    file is opened. After a failed write the journal rejects further appends,
-    because the state of the file is then unknown (an ``fsync`` that failed once
-    may report success later without having written the data).
+    When the file is opened, it is truncated at the first incomplete or corrupt entry,
+    such as a crash during a write leaves at the end. After a failed write the journal
+    rejects further appends, because the state of the file is then unknown (an
+    ``fsync`` that failed once may report success later without having written the
+    data).
 
     For example, ``journal, entries = Journal.open(path)`` followed by
     ``journal.append([b"a", b"b"])`` writes both entries with one sync.
--- a/pollenfold/wire/ledger.py
+++ b/pollenfold/wire/ledger.py
@@ -70,7 +70,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PageRequest:
-    """Requests the registers from ``offset`` on, in the key order of the fence."""
+    """Requests a page of the registers, after the receiver accepted a ``Fence``.
+
+    ``offset`` is a position in the list of keys that it stored at that time.
+    """
 
     replica_id: str
     epoch: int
--- a/pollenfold/wire/lines.py
+++ b/pollenfold/wire/lines.py
@@ -1,7 +1,7 @@
 """JSON lines over a connection, for streams that one process sends to many.
 
-The format is JSON because entries hold many such streams and use little memory: a
-schema library would take a quarter of the memory of an entry.
+The format is JSON because a schema library would take a quarter of the memory of an
+entry, which holds many such streams.
 """
 
 from __future__ import annotations
--- a/pollenfold/wire/membership.py
+++ b/pollenfold/wire/membership.py
@@ -24,7 +24,8 @@
 """Largest number of endpoints in one message; keeps it below the frame limit."""
 
 MAX_TEXT_BYTES = 128
-"""Largest length of a service, host or zone name."""
+"""Largest length of a service, host or zone name in characters. Only the zone may be
+empty."""
 
 _MAX_U32 = 0xFFFFFFFF
 
@@ -184,6 +185,7 @@
 
 
 def _checked_bucket(bucket: int) -> int:
+    """Return a valid bucket; ``N_BUCKETS`` is the one after the last page of a copy."""
     if bucket > N_BUCKETS:
         raise ValueError(f"expected a bucket up to {N_BUCKETS}, got {bucket}")
     return bucket
