--- a/pollenfold/control/order_book.py
+++ b/pollenfold/control/order_book.py
@@ -112,7 +112,7 @@
         return json.dumps(self.orders.encode()).encode()
 
     def restore(self, data: bytes) -> None:
-        """Replace the replicated state by a snapshot."""
+        """Replace the replicated state with a snapshot."""
         self.orders = decode_orders(json.loads(data))
         self.on_change()
 
@@ -205,7 +205,7 @@
         return is_starting and self.orders.version == 0 and n_voters < self._n_members
 
     async def read(self, timeout_ms: float) -> Result[Orders, ErrorKind]:
-        """Return the state, with every command acknowledged before the call applied."""
+        """Return a state that includes every command acknowledged before the call."""
         deadline = add_ms(self._clock(), timeout_ms)
         committed = await self._commit_index(BARRIER, deadline)
         if committed.is_error():
--- a/pollenfold/control/state.py
+++ b/pollenfold/control/state.py
@@ -122,7 +122,7 @@
         return encode_state(self.configuration)
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by a snapshot."""
+        """Replace the state with a snapshot."""
         self.configuration = decode_state(data)
 
     def leadership(self) -> Leadership | None:
--- a/pollenfold/core/agreement_log.py
+++ b/pollenfold/core/agreement_log.py
@@ -76,7 +76,7 @@
         return tuple(batch)
 
     def with_entries(self, entries: tuple[Entry, ...]) -> Log:
-        """Return the log with the entries replacing all from their first index on."""
+        """Return the log with ``entries`` in place of all from their first index on."""
         if not entries:
             return self
         kept = self.between(self.snapshot.index + 1, entries[0].index - 1)
--- a/pollenfold/entry/configuration.py
+++ b/pollenfold/entry/configuration.py
@@ -107,7 +107,7 @@
         return self._state.directory
 
     def leave_notices(self) -> list[AgedNotice]:
-        """Return the leave notices of the last 60 s."""
+        """Return the leave notices whose retention has not ended."""
         return self._state.notices(self._clock())
 
     async def add_leave_notice(self, notice: LeaveNotice) -> None:
--- a/pollenfold/entry/state.py
+++ b/pollenfold/entry/state.py
@@ -103,7 +103,7 @@
         return self._notices.add(notice, 0.0, now)
 
     def notices(self, now: Instant) -> list[AgedNotice]:
-        """Return the leave notices of the last 60 s."""
+        """Return the leave notices whose retention has not ended."""
         return [
             AgedNotice(notice, age) for _, notice, age in self._notices.since(0, now)
         ]
--- a/pollenfold/gateway/feed.py
+++ b/pollenfold/gateway/feed.py
@@ -39,7 +39,7 @@
         self.complete_since: Instant | None = None
 
     def record_n_peers(self, n_peers: int, n_replicas: int, now: Instant) -> None:
-        """Record from how many others of ``n_replicas`` the sender receives."""
+        """Record that the replica receives from ``n_peers`` of the other replicas."""
         has_majority = 2 * (n_peers + 1) > n_replicas
         if has_majority:
             self.no_majority_since = None
--- a/pollenfold/records/models.py
+++ b/pollenfold/records/models.py
@@ -46,7 +46,7 @@
     request_class: Literal["idempotent", "non_idempotent"] = Field(alias="class")
 
     def to_rule(self) -> Rule:
-        """Return the rule in the form that the core uses."""
+        """Return the rule as a data class of ``core.records``."""
         return Rule(
             tuple(self.methods), self.path_prefix, RequestClass(self.request_class)
         )
@@ -83,7 +83,7 @@
         return self
 
     def to_spec(self, name: str, version: int) -> ServiceSpec:
-        """Return the service in the form that the core uses."""
+        """Return the service as a data class of ``core.records``."""
         return ServiceSpec(
             name=name,
             tenant=self.tenant,
@@ -116,7 +116,7 @@
     region: Name = "default"
 
     def to_spec(self, name: str, version: int) -> ZoneSpec:
-        """Return the zone in the form that the core uses."""
+        """Return the zone as a data class of ``core.records``."""
         return ZoneSpec(name, self.region, self.state == "in", version)
 
 
@@ -132,7 +132,7 @@
     max_entries: int = Field(default=19, ge=1, le=1000)
 
     def to_spec(self, name: str, version: int) -> FleetSpec:
-        """Return the fleet limits in the form that the core uses."""
+        """Return the fleet limits as a data class of ``core.records``."""
         return FleetSpec(self.max_entries)
 
 
@@ -149,7 +149,7 @@
     state: Literal["in", "drained"] = "drained"
 
     def to_spec(self, name: str, version: int) -> EndpointSpec:
-        """Return the endpoint in the form that the core uses."""
+        """Return the endpoint as a data class of ``core.records``."""
         return EndpointSpec(name, self.service, self.state == "drained")
 
 
--- a/pollenfold/records/parsing.py
+++ b/pollenfold/records/parsing.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedRecord:
-    """A valid record: its fields as written, and its spec as a ``core.records`` class.
+    """A valid record: its fields as written, and its ``core.records`` spec.
 
     ``unknown_fields`` names the fields that this process doesn't know; they are kept
     in ``fields``.
