--- a/benchmarks/call_cost.py
+++ b/benchmarks/call_cost.py
@@ -22,7 +22,8 @@
 
 PHASE_S = 4.0
 N_ROUNDS = 3
-"""Rounds alternate between the paths, so that load drift affects all of them."""
+"""Each round measures every rate on every path in turn, so that a drift of the
+machine's load affects all paths alike."""
 
 KINDS = {
     "idempotent": CallKind("idempotent", "GET", "/pearl-market/stock", 1.0),
@@ -55,7 +56,7 @@
 
 
 async def run(rates: list[int]) -> None:
-    """Print the fits of every path and class, and the ratio of the paths."""
+    """Print the fit of each path and kind, and the entry's resident memory."""
     with tempfile.TemporaryDirectory() as folder:
         with ProcessGroup(Path(folder)) as group:
             paths = await start_entry(group)
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -262,7 +262,11 @@
 
 
 class DemoSettings(BaseSettings):
-    """Flags of the demo. ``folder`` keeps the logs and data folders."""
+    """Flags of the demo.
+
+    With ``folder``, the logs and data folders are written there and kept; otherwise
+    they are deleted.
+    """
 
     model_config = SettingsConfigDict(cli_kebab_case=True)
 
--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -21,7 +21,7 @@
 
 
 def resident_mb(process_id: int) -> float:
-    """Return the resident memory of a process in MB."""
+    """Return the resident memory of a process in MiB."""
     for line in Path(f"/proc/{process_id}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
@@ -32,6 +32,7 @@
     """Return the bytes sent and received on the open TCP connections of each process.
 
     These are the kernel's counters as ``ss`` prints them; None when ``ss`` is missing.
+    A connection counts once for a process that holds several descriptors of it.
     """
     if shutil.which("ss") is None:
         return None
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -210,7 +210,10 @@
         )
 
     def _next_target(self) -> Address:
-        """Return the next healthy target; without health data, always the same."""
+        """Return the next healthy target.
+
+        Without health data or a healthy target, return the current one.
+        """
         targets, healthy = self._plan.targets, self._plan.healthy
         if healthy is None:
             return targets[self._target_index]
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -90,7 +90,7 @@
 
 
 def slowdown_factor(endpoint: int, now: float) -> float:
-    """Return the factor by which the service time is longer now."""
+    """Return the factor that multiplies the service time now."""
     if endpoint == SLOW and now >= DURATION_MS / 5:
         return 4.0
     if endpoint == NOISY and now % 250 < 50:
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -189,7 +189,7 @@
         self.popen.wait()
 
     def suspend(self) -> None:
-        """Pause the process with SIGSTOP until ``resume``."""
+        """Suspend the process with SIGSTOP until ``resume``."""
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
@@ -197,7 +197,7 @@
         self._signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Request a graceful stop with SIGTERM."""
+        """Request a planned stop with SIGTERM."""
         self._signal(signal.SIGTERM)
 
     async def wait(self, timeout_s: float) -> int | None:
--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -68,7 +68,7 @@
 
 
 async def start_direct_backend(group: ProcessGroup) -> Address:
-    """Start a backend server without service time, which would hide overhead."""
+    """Start a backend server with service time 0; a longer one would hide overhead."""
     host = "127.0.1.1"
     port = free_ports(host, 1)[0]
     command = backend_command(
@@ -180,7 +180,10 @@
 
 
 async def run_benchmarks(settings: BenchSettings, folder: Path) -> bool:
-    """Print all figures; return whether every response was complete."""
+    """Print all figures; return whether every latency call had a complete response.
+
+    The throughput runs don't affect the result.
+    """
     with ProcessGroup(folder) as group:
         if daemons_exist():
             paths = await start_entry(group)
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -321,7 +321,7 @@
 
 
 async def run_zone_move(system: ScenarioSystem) -> None:
-    """Print the figures of a zone evacuation and return, and of idle processes."""
+    """Evacuate a zone and return it to service; print the figures and the idle cost."""
     steady, lines = await measure_steady_phase(system)
     lines += window_lines("zone_steady", steady, steady)
     lines += await measure_idle_cost(system.cluster)
@@ -363,7 +363,11 @@
 
 
 class ScenarioSettings(BaseSettings):
-    """Flags of the scenarios. ``folder`` keeps the logs and data folders."""
+    """Flags of the scenarios.
+
+    With ``folder``, the logs and data folders are written there and kept; otherwise
+    they are deleted.
+    """
 
     model_config = SettingsConfigDict(cli_kebab_case=True)
 
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -515,7 +515,10 @@
 
 
 def run_seed(seed: int, n_cycles: int, keep: Path | None = None) -> list[str]:
-    """Run one seed and return its violations; copy the logs of failures to ``keep``."""
+    """Run the soak test with one seed and return the violations.
+
+    The logs of a failed run are copied to ``keep``.
+    """
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     soak = Soak(seed, folder, n_cycles)
     try:
@@ -530,7 +533,7 @@
 
 
 def main() -> int:
-    """Run the given seeds; the exit status is 1 when any of them failed."""
+    """Run the soak test with the given seeds; the exit status is 1 if one failed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", default="1-3", help="for example 1-50 or 7,9")
     parser.add_argument("--cycles", type=int, default=2)
@@ -551,7 +554,7 @@
 
 
 def run_parallel(seeds: list[int], arguments: argparse.Namespace) -> int:
-    """Run each seed in its own process, up to ``--jobs`` in parallel."""
+    """Run one process of the soak test per seed, at most ``--jobs`` at a time."""
     waiting = list(seeds)
     running: list[subprocess.Popen[bytes]] = []
     n_failed = 0
--- a/benchmarks/soak_backends.py
+++ b/benchmarks/soak_backends.py
@@ -20,7 +20,12 @@
 
 
 class Link(Enum):
-    """How a proxy treats the bytes between an entry and a backend server."""
+    """How a proxy treats the bytes between an entry and a backend server.
+
+    ``DELAY`` delays the bytes of both directions. ``SILENT`` holds back the bytes of
+    both directions until the mode changes, ``ONE_WAY`` only those of responses.
+    ``RESET`` closes new connections.
+    """
 
     PASS = "pass"
     DELAY = "delay"
--- a/pollenfold/testing/backend_settings.py
+++ b/pollenfold/testing/backend_settings.py
@@ -13,9 +13,15 @@
     """Settings of the fake backend server.
 
     ``incarnation`` 0 selects the start time in milliseconds. The service time is
-    ``service_ms`` times a log-normal factor with ``jitter_sigma``. After SIGTERM the
-    server refuses new requests for ``linger_ms`` before it closes, because entries
-    may still send requests during that time.
+    ``service_ms`` times a log-normal factor with ``jitter_sigma``.
+
+    A cold server turns warm after ``warm_after`` executed requests. Until then, a
+    request that arrives while ``cold_slots`` others are in flight overloads it. With
+    the ``cold_overload`` "fail" it gets a 500 immediately; with "slow" it is executed,
+    and its service time is multiplied by ``cold_slow_factor``.
+
+    After SIGTERM the server refuses new requests for ``linger_ms`` before it closes,
+    because entries may still send requests during that time.
     """
 
     model_config = SettingsConfigDict(
--- a/pollenfold/testing/faults.py
+++ b/pollenfold/testing/faults.py
@@ -61,7 +61,7 @@
 
 
 class FaultRule(BaseModel):
-    """One row of the fault table.
+    """One rule of the fault table.
 
     ``share`` is the fraction of matching requests that get the fault, ``n_requests``
     the maximum number of such requests (None for no limit).
--- a/pollenfold/tests/cli/test_commands.py
+++ b/pollenfold/tests/cli/test_commands.py
@@ -201,7 +201,10 @@
 
 
 def test_commands_follow_the_leader(control_run, program, write):
-    """Guards against commands that only work when sent to the leader."""
+    """Guards against commands that only work when sent to the leader.
+
+    No ledger is available here, so ``requests`` must fail with that reason.
+    """
 
     async def steps(control):
         follower = ControlFake("c2", control.peers, control.operators)
@@ -248,7 +251,7 @@
     ],
 )
 def test_wrong_setting_is_one_line_and_exit_status_2(arguments, expected, capsys):
-    """Guards against a daemon that starts with an invalid setting."""
+    """Guards against an invalid setting that is accepted or reported as a traceback."""
     assert main(arguments.split()) == 2
     output = capsys.readouterr()
     assert (output.out, output.err.count("\n")) == ("", 1)
--- a/pollenfold/tests/control/test_feed_server.py
+++ b/pollenfold/tests/control/test_feed_server.py
@@ -127,7 +127,7 @@
         await wait_until(lambda: peer.endpoint_ids() == {"i-1"})
         await wait_until(lambda: any("heard" in line for line in near.lines))
         assert near.repeated_ids() == {"i-1", "i-2"}
-        # Relayed ids between replicas would keep a dead endpoint alive forever.
+        # Between replicas, relayed ids would keep a crashed endpoint from expiring.
         assert peer.repeated_ids() == {"i-1"}
         await far.send({"list": 1})
         await wait_until(lambda: far.endpoint_ids() == {"i-1"})
--- a/pollenfold/tests/control/test_leases.py
+++ b/pollenfold/tests/control/test_leases.py
@@ -70,7 +70,7 @@
 
 
 def test_update_completes_a_long_poll_immediately(control_run):
-    """Guards against an evacuated zone in use for the rest of a long poll."""
+    """Guards against an evacuated zone that stays in use until a long poll ends."""
 
     async def main(control):
         poll = await curio.spawn(long_poll, control)
@@ -100,7 +100,8 @@
 
 
 def test_follower_names_the_leader(control_run):
-    """Guards against an entry that can't find the leader, or a lease by a follower."""
+    """Guards against an entry that can't find the leader, or a lease granted by a
+    follower."""
 
     async def main(control):
         control.peers["c2"] = ("127.0.0.1", 7777)
--- a/pollenfold/tests/core/test_allowances.py
+++ b/pollenfold/tests/core/test_allowances.py
@@ -14,7 +14,8 @@
 
 
 def test_largest_recent_fleet_size_counts():
-    """Guards against shares that grow while some entries are only partitioned."""
+    """Guards against an entry whose share grows although partitioned entries still use
+    theirs."""
     fleet = FleetSize()
     assert fleet.get(0.0) == UNKNOWN_FLEET_SIZE
     fleet.report(19, 0.0)
@@ -24,8 +25,8 @@
 
 
 @pytest.mark.parametrize("n_entries", [1, 7, 19, 94])
-def test_extra_sends_stay_within_the_total_budget(n_entries):
-    """Guards against retries of all entries that together exceed the budget."""
+def test_retries_stay_within_the_total_allowance(n_entries):
+    """Guards against retries of all entries that together exceed the allowance."""
     allowances = [RetryAllowance(0.2, 64, 10_000) for _ in range(n_entries)]
     n_requests = n_extra = 0
     for step in range(2_000):
--- a/pollenfold/tests/core/test_directory.py
+++ b/pollenfold/tests/core/test_directory.py
@@ -14,6 +14,7 @@
 from pollenfold.core.errors import ErrorKind
 
 SETTLED = Instant(LEASE_MS + LEASE_MARGIN_MS)
+"""When a leader since 0 is settled, and when a lease granted at 0 expires."""
 
 
 def entry(name, incarnation=1, port=1):
--- a/pollenfold/tests/core/test_lease.py
+++ b/pollenfold/tests/core/test_lease.py
@@ -43,7 +43,7 @@
 
 
 def test_start_of_a_continuous_lease():
-    """Guards against using endpoints known from before the lease lapsed."""
+    """Guards against using endpoints known from before the lease expired."""
     lease = Lease()
     lease.renew(Instant(0.0), 100.0, 0, Instant(10.0))
     lease.renew(Instant(90.0), 100.0, 0, Instant(95.0))
--- a/pollenfold/tests/core/test_membership.py
+++ b/pollenfold/tests/core/test_membership.py
@@ -66,8 +66,8 @@
 
 
 def test_endpoint_without_new_heartbeats_expires(table):
-    """Guards against requests to a crashed server, and against a peer's stale entry or
-    a change of the warm state that prevents its expiry."""
+    """Guards against requests to a crashed server, and against a peer's stale
+    record or a change of the warm state that prevents its expiry."""
     table.merge(make_endpoint(), at(0))
     table.merge(make_endpoint(heartbeat=2), at(4000))
     assert table.expire(at(9000)) == ()
--- a/pollenfold/tests/core/test_routes.py
+++ b/pollenfold/tests/core/test_routes.py
@@ -17,7 +17,8 @@
 
 
 def test_longest_prefix_wins():
-    """Guards against matching a route with a shorter prefix."""
+    """Guards against matching a route with a shorter prefix, with a prefix that ends
+    within a path segment, or a route of another host."""
     routes = sorted_routes([route("wide", "/a/"), route("narrow", "/a/b/")])
     configuration = RoutingConfiguration(1, {"h": routes})
     assert find_route(configuration, "h", "/a/b/c").name == "narrow"
--- a/pollenfold/tests/entry/conftest.py
+++ b/pollenfold/tests/entry/conftest.py
@@ -182,7 +182,7 @@
         self.view = ConfigurationView(1, (spec,), {}, FleetSpec(1))
 
     async def add_server(self, *faults, zone="a", is_warm=True, **settings):
-        """Start a fake backend server; each fault is a row of its table."""
+        """Start a fake backend server; each fault is a rule of its fault table."""
         settings = {"service_ms": 0, "jitter_sigma": 0, **settings}
         server = BackendServer(
             BackendSettings(zone=zone, starts_cold=False, **settings)
--- a/pollenfold/tests/entry/test_announcements.py
+++ b/pollenfold/tests/entry/test_announcements.py
@@ -29,7 +29,10 @@
 
 
 class Entry:
-    """A handler with its table and records of its pushes and leave notices."""
+    """A handler with its table and records of its pushes and leave notices.
+
+    In each push, 17 of 18 peers acknowledge.
+    """
 
     def __init__(self, service, run):
         self.table = EndpointTable()
--- a/pollenfold/tests/entry/test_drain.py
+++ b/pollenfold/tests/entry/test_drain.py
@@ -58,7 +58,7 @@
 
 
 def test_stop_waits_for_a_request_that_is_still_arriving(call_path):
-    """Guards against a stop that drops a request between its head and its body."""
+    """Guards against a stop that drops a request whose body has only partly arrived."""
 
     async def main(path):
         await path.add_server()
--- a/pollenfold/tests/entry/test_gossip.py
+++ b/pollenfold/tests/entry/test_gossip.py
@@ -139,7 +139,7 @@
     st.lists(st.tuples(st.integers(0, 4000), st.integers(0, 255)), max_size=6),
     st.integers(0, 64),
 )
-def test_damaged_messages_raise_one_error(message, damage, n_truncated):
+def test_damaged_messages_raise_only_value_error(message, damage, n_truncated):
     """Guards against a damaged message that ends the gossip task with an unhandled
     error: decoders may raise ValueError only."""
     decode, data = message
--- a/pollenfold/tests/entry/test_probes.py
+++ b/pollenfold/tests/entry/test_probes.py
@@ -20,7 +20,7 @@
 
 
 async def probe(body, status):
-    """Probe one server for five seconds of a manual clock; return the results."""
+    """Probe one server for 5 s of a manual clock; return the results and paths."""
     paths = []
 
     async def handle(request):
--- a/pollenfold/tests/entry/test_slots.py
+++ b/pollenfold/tests/entry/test_slots.py
@@ -52,7 +52,8 @@
     [(0, 5000.0, ErrorKind.QUEUE_FULL), (10, 20.0, ErrorKind.DEADLINE_EXCEEDED)],
 )
 def test_refusal_of_a_waiting_request(run, queue_limit, deadline_ms, expected):
-    """Guards against requests that wait indefinitely for a slot."""
+    """Guards against a full queue that accepts a request, and a request that waits past
+    its deadline."""
 
     async def main():
         queue, _ = await make_queue(queue_limit=queue_limit)
@@ -64,7 +65,7 @@
     run(main)
 
 
-def test_cancelled_waiter_releases_its_slot(run):
+def test_cancelled_waiter_leaves_the_queue(run):
     """Guards against a slot leak when a queued request is cancelled."""
 
     async def main():
--- a/pollenfold/tests/gateway/test_forward.py
+++ b/pollenfold/tests/gateway/test_forward.py
@@ -202,8 +202,8 @@
 
 
 def test_one_health_response_is_enough_when_other_servers_are_unresponsive(with_path):
-    """Guards against probes with the longest wait that use all of it although one of
-    the servers has responded."""
+    """Guards against probes that wait for unresponsive servers as long as permitted
+    although another server has responded."""
 
     async def body(path, unresponsive1, slow, unresponsive2):
         slow.check_delay_ms = 30.0
--- a/pollenfold/tests/gateway/test_notices.py
+++ b/pollenfold/tests/gateway/test_notices.py
@@ -136,7 +136,11 @@
 
 def test_requests_go_to_the_others_while_half_of_the_servers_back_off(with_path):
     """Load pattern: a burst in which half of the servers shed load with a 2 s
-    Retry-After."""
+    Retry-After.
+
+    Guards against failed requests, and against repeated sends to servers that back
+    off.
+    """
     refusing = [Backend(f"t{number}", refusal(b"2")) for number in range(4)]
     others = [Backend(f"o{number}", delay_ms=10.0) for number in range(4)]
 
--- a/pollenfold/tests/gateway/test_slow_link.py
+++ b/pollenfold/tests/gateway/test_slow_link.py
@@ -51,7 +51,10 @@
 
 
 def test_short_request_does_not_wait_behind_a_long_one(run):
-    """Load pattern: a lookup while an upload is forwarded over a slow link."""
+    """Load pattern: a lookup while an upload is forwarded over a slow link.
+
+    Guards against a short request that waits until the upload has been sent.
+    """
 
     async def body(port, arrivals):
         pool = ConnectionPool("127.0.0.1", port, 5, system_clock, Link(256.0))
--- a/pollenfold/tests/http/test_limits.py
+++ b/pollenfold/tests/http/test_limits.py
@@ -80,7 +80,7 @@
 
 
 def test_head_incomplete_at_the_timeout_ends_its_connection(exchange):
-    """Guards against slow callers that keep connections open for ever."""
+    """Guards against slow callers that keep connections open forever."""
     received, rejected = exchange(HEAD)
     assert received.startswith(b"HTTP/1.1 408")
     assert rejected[0][0].value == "slow_request"
--- a/pollenfold/tests/http/test_retry_after.py
+++ b/pollenfold/tests/http/test_retry_after.py
@@ -29,7 +29,7 @@
 )
 def test_value_is_parsed_or_ignored(value, expected_ms):
     """Guards against an invalid value that raises, and a huge one that excludes the
-    server for ever."""
+    server forever."""
     assert parse_rest_ms(value, DATE) == expected_ms
 
 
--- a/pollenfold/tests/ledger/test_replica.py
+++ b/pollenfold/tests/ledger/test_replica.py
@@ -272,8 +272,8 @@
 
 
 def test_operation_ends_after_a_suspension(run_ledger):
-    """Guards against a client that continues with promises which the replicas
-    dropped by age while its process was suspended."""
+    """Guards against a client that relies on promises that the replicas dropped because
+    of their age while its process was suspended."""
 
     async def main(ledger):
         instants = iter([0.0, 0.0, 40_000.0])
--- a/pollenfold/tests/processes/system.py
+++ b/pollenfold/tests/processes/system.py
@@ -82,14 +82,15 @@
     n_sent: int = 0
 
     async def start(self) -> None:
-        """Start all processes and send requests until no backend server is cold."""
+        """Start all processes; wait until each service responds through each entry."""
         await self.cluster.start()
         await self.cluster.wait_for_work()
 
     async def warm_up(self) -> None:
         """Send requests until every entry may send to every backend server.
 
-        After the previous test, entries may still be waiting as new warm-up owners.
+        After the previous test, a new warm-up owner may still be waiting until the
+        previous owner must have stopped sending.
         """
         await self.cluster.wait_for_work()
 
@@ -118,7 +119,7 @@
         shutil.rmtree(replica.data_folder)
 
     async def rejoin(self, replica: LedgerReplica | ControlReplica) -> None:
-        """Start a replica with an empty folder and wait until it has rejoined."""
+        """Start a killed and wiped replica and wait until it has rejoined."""
         n_before = self.count_joins(replica)
         self.group.restart(replica.replica_id)
 
--- a/pollenfold/tests/processes/test_cold_start.py
+++ b/pollenfold/tests/processes/test_cold_start.py
@@ -16,7 +16,8 @@
     "POLLENFOLD_BACKEND_WARM_AFTER": "1000000",
     "POLLENFOLD_BACKEND_COLD_SLOW_FACTOR": "1",
 }
-"""The server stays cold, so that it counts every time it has more than one request."""
+"""The server stays cold, so that it counts each request that arrives while another one
+is in flight. With factor 1, an overload doesn't change the service time."""
 
 SETTLE_S = 1.0
 """Time for all entries to notice a server that turns cold without warning: its next
--- a/pollenfold/tests/storage/test_agreement.py
+++ b/pollenfold/tests/storage/test_agreement.py
@@ -30,9 +30,11 @@
 
 
 def kill_at_call(monkeypatch, n_calls):
-    """Raise ProcessKilled in the given one of the calls that change a file.
+    """Let ``n_calls`` calls of write, fsync and replace succeed; fail all later ones.
 
-    Return a function that returns how many calls are left until then.
+    The others raise ProcessKilled. If the first of them is a write, it writes half of
+    its data. Return a function that returns how many of the ``n_calls`` are left; the
+    result is negative once a call has raised.
     """
     n_calls_left = n_calls
     original_write = os.write
@@ -75,7 +77,11 @@
 
 
 def test_kill_at_any_write_leaves_a_folder_that_can_be_opened(tmp_path, monkeypatch):
-    """Guards against a kill that loses acknowledged state or leaves a partial write."""
+    """Guards against a kill that loses acknowledged state, or leaves a folder that
+    can't be opened or that holds a part of the interrupted action.
+
+    An interrupted write of entries may leave any number of the first entries.
+    """
     folder = tmp_path / "complete"
     storage = AgreementStorage(folder, "a")
     states = [read_storage(folder)]
@@ -103,6 +109,7 @@
             read_storage(folder) in states[n_performed : n_performed + 2] + torn_states
         )
         if n_calls_left() >= 0:
+            # No call raised, so a kill at each of the calls has been tested.
             return
     pytest.fail("expected all actions to be performed within 200 calls")
 
--- a/pollenfold/tests/storage/test_journal.py
+++ b/pollenfold/tests/storage/test_journal.py
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("n_lost_bytes", [1, 4, 12, 300, 505])
 def test_torn_last_entry_is_truncated(tmp_path, n_lost_bytes):
-    """Guards against a torn last record that hides or corrupts the earlier ones."""
+    """Guards against a torn last entry that hides or corrupts the earlier ones."""
     path = tmp_path / "log"
     append_entries(path, ENTRIES)
     os.truncate(path, path.stat().st_size - n_lost_bytes)
--- a/pollenfold/tests/testing/test_backend_server.py
+++ b/pollenfold/tests/testing/test_backend_server.py
@@ -43,8 +43,8 @@
 def test_server_warms_with_served_requests_and_turns_cold_again(with_server):
     """Guards against a server that warms up with time, or can't turn cold again.
 
-    The server also sends its load report only with responses to requests that ask for
-    it, and counts exactly the bytes of these headers.
+    Also guards against a load report in the response to a request that didn't ask for
+    it, and against a wrong count of the bytes of these headers.
     """
 
     async def body(server, caller):
--- a/properties/test_agreement.py
+++ b/properties/test_agreement.py
@@ -31,7 +31,8 @@
 def may_lose_disk(cluster, name):
     """Return whether the guarantees still hold with this disk lost too.
 
-    They cover only a minority of blank replicas.
+    They hold only while a minority of the replicas is blank: a blank replica started
+    on an empty disk and has not joined yet.
     """
     n_blank = sum(c.is_blank for k, c in cluster.replicas.items() if k != name)
     return n_blank < (len(cluster.replicas) - 1) // 2
@@ -46,7 +47,11 @@
 
 
 def check_progress(cluster):
-    """All replicas rejoin and apply a new command 4 s after the faults stop."""
+    """Check that the cluster recovers from the faults.
+
+    A command proposed 4 s after the faults stop commits within 0.5 s, and by then all
+    replicas have joined and applied all commands.
+    """
     cluster.recover(4000)
     for replica in cluster.replicas.values():
         assert not replica.is_blank
--- a/properties/test_configuration.py
+++ b/properties/test_configuration.py
@@ -74,14 +74,16 @@
 
 @given(st.one_of(st.binary(max_size=200), st.text().map(str.encode)))
 def test_arbitrary_bytes_are_a_record_or_a_bad_record(data):
-    """Guards against an exception raised by a record from an operator."""
+    """Guards against a parser that raises an exception on malformed bytes from an
+    operator."""
     result = parse_record(data)
     assert result.is_ok() or result.error.kind is ErrorKind.BAD_RECORD
 
 
 @given(st.binary(max_size=400))
 def test_arbitrary_bytes_are_a_message_or_a_bad_frame(data):
-    """Guards against an exception raised by bytes from a peer."""
+    """Guards against a decoder that raises an exception on malformed bytes from a
+    peer."""
     for decode in (decode_request, decode_response):
         result = decode(data)
         assert result.is_ok() or result.error.kind is ErrorKind.BAD_FRAME
--- a/properties/test_decoders.py
+++ b/properties/test_decoders.py
@@ -252,8 +252,8 @@
 
 @given(st.lists(REQUEST_PIECES, max_size=8))
 def test_each_handled_request_gets_one_response_in_order(pieces):
-    """Guards against requests that are handled twice or get responses out of order,
-    whatever bytes lie between them."""
+    """Guards against a handled request that gets no response or two, even with
+    malformed bytes between the requests."""
     handled = []
 
     async def main():
@@ -282,5 +282,5 @@
 
     data = curio.run(main)
     n_responses = data.count(b"HTTP/1.1 200")
-    # A bad request after others gets an error response after theirs.
+    # Malformed requests aren't handled, and their error responses aren't counted.
     assert n_responses == len(handled)
