--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -119,7 +119,7 @@
             )
 
     def has_started(self) -> bool:
-        """Return whether the process logged its start; then its handlers are set."""
+        """Return whether the process has logged its start and so set its handlers."""
         with (self.folder / "log").open("rb") as log:
             log.seek(self.n_log_bytes)
             return b"event=started " in log.read()
--- a/pollenfold/tests/control/test_feed_server.py
+++ b/pollenfold/tests/control/test_feed_server.py
@@ -57,7 +57,7 @@
         return {name for line in self.lines for name in line.get("heard", ())}
 
     def entries(self):
-        """Return the entry names that the received lines add up to."""
+        """Return the entry names after the changes of all received lines."""
         names = set()
         for line in self.lines:
             names = set(line.get("entries", names)) | set(line.get("joined", ()))
@@ -82,7 +82,8 @@
 
 @pytest.fixture
 def with_feed(run):
-    """Return a function that runs ``body(book, connect)`` on a feed of zone a."""
+    """Return a function that runs ``body(cluster_state, connect)`` on a feed of
+    zone a."""
 
     def run_body(body):
         async def main():
--- a/pollenfold/tests/core/test_agreement.py
+++ b/pollenfold/tests/core/test_agreement.py
@@ -198,7 +198,8 @@
 
 
 def test_request_to_the_earlier_incarnation_does_not_end_the_blank_state(cluster):
-    """Guards against a rejoin by a late request without entries acknowledged since."""
+    """Guards against a rejoin through a late request to the earlier incarnation, which
+    lacks the entries acknowledged since it was sent."""
     leader = cluster.leader()
     blank = followers(cluster)[0]
     late = messages.AppendRequest(
@@ -223,7 +224,8 @@
 def test_blank_replica_stays_blank(cluster, terms_later, n_entries_behind):
     """Guards against a vote that conflicts with votes or entries of the lost disk.
 
-    Too few replicas responded, the leader was deposed, or entries are missing.
+    The replica must stay blank while too few replicas have responded, when the leader
+    was deposed, and while entries are missing.
     """
     leader = cluster.leader()
     blank = followers(cluster)[0]
--- a/pollenfold/tests/core/test_measurement.py
+++ b/pollenfold/tests/core/test_measurement.py
@@ -36,8 +36,8 @@
 @pytest.mark.parametrize("n_bytes", [100, MAX_PROBE_BYTES, 5 * MAX_PROBE_BYTES])
 @pytest.mark.parametrize("probes_per_s, bytes_per_s", [(38, 1e9), (1e6, 40_000)])
 def test_fleet_stays_within_the_budget(probes_per_s, bytes_per_s, n_bytes):
-    """Guards against probes that exceed the budget, regardless of how many entries
-    each entry knows, also after a start, and for any length of the responses."""
+    """Guards against probes of the maximum number of entries that together exceed the
+    budget, also right after their start, and for any length of the responses."""
     spec = make_service(probes_per_s=probes_per_s, probe_bytes_per_s=bytes_per_s)
     n_seconds = 30
     n_probes = n_probe_bytes = 0
--- a/pollenfold/tests/core/test_outliers.py
+++ b/pollenfold/tests/core/test_outliers.py
@@ -54,7 +54,7 @@
 
 
 def test_server_that_fails_most_of_its_requests_is_ejected(detector):
-    """Guards against missing frequent failures that successes interrupt."""
+    """Guards against frequent failures that go undetected between successes."""
     for n in range(40):
         detector.record(BAD, n % 5 != 0, 10.0, at(n))
     assert detector.is_ejected(BAD, at(40))
--- a/pollenfold/tests/ledger/test_replica.py
+++ b/pollenfold/tests/ledger/test_replica.py
@@ -309,7 +309,7 @@
 
 
 def test_group_sync(run, tmp_path):
-    """Guards against one sync for each request, and against a response before it."""
+    """Guards against one sync for each request, and a response before the sync."""
 
     async def main():
         store = RegisterStore(tmp_path, 3, lambda: 0.0)
--- a/pollenfold/tests/processes/system.py
+++ b/pollenfold/tests/processes/system.py
@@ -62,7 +62,7 @@
         return super().start(name, command)
 
     def partition(self, name: str, *lines: str) -> None:
-        """Partition a process as its lines say; without lines, end the partition.
+        """Partition a process as ``lines`` say; without lines, end the partition.
 
         ``pollenfold.testing.cuts`` describes the lines.
         """
--- a/pollenfold/tests/wire/test_rpc.py
+++ b/pollenfold/tests/wire/test_rpc.py
@@ -19,7 +19,10 @@
 
 
 async def is_closed_by_peer(sock):
-    """A reset counts: a peer that closes with unread bytes resets the connection."""
+    """Return whether the peer closes the connection.
+
+    A reset counts too, as a close with unread bytes resets the connection.
+    """
     try:
         return await sock.recv(100) == b""
     except ConnectionResetError:
--- a/properties/test_agreement_members.py
+++ b/properties/test_agreement_members.py
@@ -30,7 +30,7 @@
 
 
 def n_missing(cluster):
-    """Return how many voters of the newest group lost their disk or were removed."""
+    """Return how many of five voters of the newest log are lost or not added yet."""
     newest = max(
         (c.state for c in cluster.replicas.values() if c.state),
         key=lambda state: (state.log.last_term, state.log.last_index),
