--- a/pollenfold/tests/control/test_feed_server.py
+++ b/pollenfold/tests/control/test_feed_server.py
@@ -57,7 +57,7 @@
         return {name for line in self.lines for name in line.get("heard", ())}
 
     def entries(self):
-        """Return the entry names that the received lines add up to."""
+        """Return the entry names after the changes of all received lines."""
         names = set()
         for line in self.lines:
             names = set(line.get("entries", names)) | set(line.get("joined", ()))
@@ -82,7 +82,8 @@
 
 @pytest.fixture
 def with_feed(run):
-    """Return a function that runs ``body(book, connect)`` on a feed of zone a."""
+    """Return a function that runs ``body(cluster_state, connect)`` on a feed of
+    zone a."""
 
     def run_body(body):
         async def main():
@@ -127,7 +128,7 @@
         await wait_until(lambda: peer.endpoint_ids() == {"i-1"})
         await wait_until(lambda: any("heard" in line for line in near.lines))
         assert near.repeated_ids() == {"i-1", "i-2"}
-        # Relayed ids between replicas would keep a dead endpoint alive forever.
+        # Between replicas, relayed ids would keep a crashed endpoint from expiring.
         assert peer.repeated_ids() == {"i-1"}
         await far.send({"list": 1})
         await wait_until(lambda: far.endpoint_ids() == {"i-1"})
