--- a/pollenfold/control/cluster_state.py
+++ b/pollenfold/control/cluster_state.py
@@ -79,8 +79,8 @@
         self.announced_ids: set[str] = set()
         self.relayed_ids: set[str] = set()
         """Endpoints that announced themselves again to other replicas; sent to entries
-        only, since replicas that relayed them to each other would keep a dead endpoint
-        alive forever."""
+        only, since replicas that relayed them to each other would never let a
+        stopped endpoint expire."""
 
         self.replica: Replica
         self.on_change: Callable[[], None] = lambda: None
@@ -112,7 +112,7 @@
         return json.dumps(self.replicated_state.encode()).encode()
 
     def restore(self, data: bytes) -> None:
-        """Replace the replicated state by a snapshot."""
+        """Replace the replicated state with a snapshot."""
         self.replicated_state = decode_replicated_state(json.loads(data))
         self.on_change()
 
@@ -209,7 +209,7 @@
         )
 
     async def read(self, timeout_ms: float) -> Result[ReplicatedState, ErrorKind]:
-        """Return the state, with every command acknowledged before the call applied."""
+        """Return a state that includes every command acknowledged before the call."""
         deadline = add_ms(self._clock(), timeout_ms)
         committed = await self._commit_index(BARRIER, deadline)
         if committed.is_error():
@@ -279,7 +279,7 @@
             client = self._clients[address] = RpcClient(*address)
         result = await client.call(protocol, payload, timeout_ms)
         if result.is_error():
-            # The connection may be half-open: dead without a reset.
+            # The connection may be half-open: lost without a reset.
             await client.close()
         return result
 
--- a/pollenfold/entry/configuration.py
+++ b/pollenfold/entry/configuration.py
@@ -43,7 +43,10 @@
 
 
 def _start_incarnation() -> int:
-    """Return a number that is higher for every later process on this VM."""
+    """Return a number that is higher for every later process on this VM.
+
+    This holds unless the wall clock is set back.
+    """
     return time.time_ns() // 1_000_000
 
 
@@ -104,7 +107,7 @@
         return self._state.directory
 
     def leave_notices(self) -> list[AgedNotice]:
-        """Return the leave notices of the last 60 s."""
+        """Return the leave notices whose retention has not ended."""
         return self._state.notices(self._clock())
 
     async def add_leave_notice(self, notice: LeaveNotice) -> None:
--- a/pollenfold/gateway/feed.py
+++ b/pollenfold/gateway/feed.py
@@ -23,9 +23,9 @@
     ``requested_index`` is the highest index for which the replicated state was
     requested. ``zone`` is the zone of the replica, known from its first line;
     ``n_endpoints`` is how many endpoints the replica knew at that time, or None when it
-    didn't report a number. ``no_majority_since`` is since when the replica receives
-    from no majority of the replicas, ``complete_since`` since when it receives from all
-    others.
+    didn't report a number. ``no_majority_since`` is when the replica lost contact
+    with a majority of the replicas, or None. ``complete_since`` is when it last came
+    into contact with all others, or None if one is missing.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -39,7 +39,7 @@
         self.complete_since: Instant | None = None
 
     def record_n_peers(self, n_peers: int, n_replicas: int, now: Instant) -> None:
-        """Record from how many others of ``n_replicas`` the sender receives."""
+        """Record that the replica receives from ``n_peers`` of the other replicas."""
         has_majority = 2 * (n_peers + 1) > n_replicas
         if has_majority:
             self.no_majority_since = None
