--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """Number of processes of each role, and the capacity of each backend server."""
+    """Numbers of processes, the services, and the capacity of each backend server."""
 
     n_control: int = 3
     n_ledger: int = 3
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -176,7 +176,7 @@
 async def measure(
     addresses: dict[str, tuple[str, int]], pids: list[int], folder: Path, sizes
 ) -> None:
-    """Wait until the replicas may vote, then measure every size."""
+    """Wait until the replicas are not blank, then measure every size."""
     client = CountingClient(addresses, "benchmark", system_clock)
     async with curio.timeout_after(START_LIMIT_S):
         for address in addresses.values():
--- a/pollenfold/cli/daemons.py
+++ b/pollenfold/cli/daemons.py
@@ -94,7 +94,7 @@
 --operator-port 7100 --data-folder control-data</info>"""
 
     def import_serve_function(self) -> ServeFunction:
-        """Import the control daemon."""
+        """Return the function that runs the control daemon."""
         from ..control.daemon import serve_control
 
         return serve_control
--- a/pollenfold/core/agreement_election.py
+++ b/pollenfold/core/agreement_election.py
@@ -26,7 +26,7 @@
 
 
 def start_pre_vote(state: State, now: Instant, timeout_ms: float) -> Step:
-    """Request pre-votes: whether a majority would vote, without raising the term.
+    """Ask whether a majority would vote for this replica; the term isn't raised.
 
     An isolated replica repeats this and keeps its term, so the others need no new
     election when it reconnects.
--- a/pollenfold/core/agreement_state.py
+++ b/pollenfold/core/agreement_state.py
@@ -78,8 +78,8 @@
     ``leader_contact_at`` is when a message from a leader was last received, or the
     start of the replica: it may have acknowledged a leader just before a restart, and
     must not vote for another one until the shortest election timeout has passed. With
-    ``is_dynamic`` it starts earlier by that timeout, so a restarted replica may vote
-    immediately. ``wake_at`` is when the next tick is due.
+    ``is_dynamic``, ``leader_contact_at`` starts earlier by that timeout, so a restarted
+    replica may vote immediately. ``wake_at`` is when the next tick is due.
     """
 
     replica_id: str
--- a/pollenfold/core/claims.py
+++ b/pollenfold/core/claims.py
@@ -240,9 +240,9 @@
     def _resolve_split_vote(self, valid: list[Reply]) -> Action[T]:
         """Finish if a majority holds one value of another claimant, else start a round.
 
-        That value need not be chosen, but a result about another claim never permits
-        a dispatch. The operation's own claim needs a round, since its votes may be
-        superseded.
+        The value might not be chosen. That is safe, because a result about another
+        claim never permits a dispatch. The operation's own claim needs a round, since
+        its votes may be superseded.
         """
         assert self._claim is not None
         for reply in valid:
--- a/pollenfold/core/endpoints.py
+++ b/pollenfold/core/endpoints.py
@@ -28,7 +28,7 @@
     zone_version: int = 0
 
     def merge_key(self) -> tuple[int, int, bool]:
-        """Return the sort key for merges; at equal epochs cold wins over warm."""
+        """Return the sort key for merges: zone version, epoch, then cold over warm."""
         return (self.zone_version, self.epoch, not self.is_warm)
 
 
--- a/pollenfold/core/overload.py
+++ b/pollenfold/core/overload.py
@@ -2,9 +2,10 @@
 
 A response after its latency target has little value but uses as much capacity as one
 in time. Overloaded servers are therefore sent only requests that can still meet their
-target. Other requests are refused immediately with a retry delay, and are served from
-spare capacity. Without admission control every request would wait in the servers'
-queues and nearly all responses would be late.
+target. Other requests are sent only if the server has spare capacity and their deadline
+can be met; otherwise they are refused immediately with a retry delay. Without admission
+control every request would wait in the servers' queues and nearly all responses would
+be late.
 """
 
 from __future__ import annotations
--- a/pollenfold/core/records.py
+++ b/pollenfold/core/records.py
@@ -36,7 +36,7 @@
     """One service of a tenant, and the limits of its endpoints.
 
     ``retry_ratio`` and ``hedge_ratio`` are fractions of the number of calls. The
-    probe budget is shared by all entries.
+    probe budget, ``probes_per_s`` and ``probe_bytes_per_s``, is shared by all entries.
     """
 
     name: str
--- a/pollenfold/core/register.py
+++ b/pollenfold/core/register.py
@@ -252,7 +252,8 @@
 
 
 def _is_expiring(copies: Sequence[AgedRegister]) -> bool:
-    """Return whether other replicas may already have dropped the newest value.
+    """Return whether other replicas may already have dropped the value of
+    the highest accepted ballot.
 
     Replicas drop a register at slightly different times. If one copy holds a value
     near the end of its retention and another a younger claim, that claim may have
@@ -269,7 +270,7 @@
 
 
 def withdraw(value: Value, claim_id: str) -> Value:
-    """Return the value after a claimant that did not dispatch withdraws its claim.
+    """Return the value without a claim that its claimant withdraws undispatched.
 
     If a register is in doubt between two claims and one is withdrawn, the other one
     holds the key, since no third claim can have been dispatched. Withdrawing the last
--- a/pollenfold/core/routing.py
+++ b/pollenfold/core/routing.py
@@ -31,9 +31,9 @@
     """The state of one endpoint as one entry observes it.
 
     ``n_in_flight`` counts this entry's own requests. ``ewma_ms`` is a peak-sensitive
-    average latency. ``reported_in_flight`` is the load from all entries that the
-    server reported at ``reported_at``. ``limit`` is the number of concurrent requests
-    that this entry may currently have there.
+    average latency. ``reported_in_flight`` is the load from all entries, as the
+    server reported it at ``reported_at``. ``limit`` is the number of concurrent
+    requests that this entry may currently have there.
     """
 
     key: str
--- a/pollenfold/entry/proxy.py
+++ b/pollenfold/entry/proxy.py
@@ -175,7 +175,11 @@
 
 
 def _must_forward(runtime: ServiceRuntime, request: Request) -> bool:
-    """Return whether the request must be forwarded: only other entries may send it."""
+    """Return whether this entry must forward the request to another entry.
+
+    It must if it has no candidates, there are warm-up owners, and the request was not
+    already forwarded.
+    """
     return (
         not runtime.slots.candidates
         and bool(runtime.warmup_owners)
--- a/pollenfold/gateway/balancer.py
+++ b/pollenfold/gateway/balancer.py
@@ -172,7 +172,7 @@
                 return await self._pick_unprobed(search)
             if not candidates or not n_wanted:
                 break
-            # Probes to other zones cost traffic between zones.
+            # Earlier rounds prefer the own zone, to limit traffic between zones.
             is_local_only = n_round < MAX_ROUNDS - 1
             await self._probe_round(search, candidates, n_wanted, is_local_only)
             if search.best is not None and search.best.cost < EARLY_ACCEPT_SLOWDOWN:
--- a/pollenfold/http/caller.py
+++ b/pollenfold/http/caller.py
@@ -211,6 +211,7 @@
             while len(self._waiting) >= MAX_PIPELINED_REQUESTS:
                 await self._waiting[0].is_done.wait()
             return not self._is_closing
+        # All but this exchange, which is the last.
         for earlier in list(self._waiting)[:-1]:
             await earlier.is_done.wait()
         if self._is_closing:
--- a/pollenfold/http/request_reader.py
+++ b/pollenfold/http/request_reader.py
@@ -73,7 +73,8 @@
 class RequestReader:
     """Reads one request from a connection.
 
-    Of a longer body, only ``window_bytes`` are read before the request is returned.
+    Of a body longer than ``window_bytes``, only that many bytes are read before the
+    request is returned.
     ``parser`` is new for each request and holds the bytes received after the previous
     one. ``on_head`` is called when the head is complete. ``idle_left_ms`` returns how
     much longer to wait for the first byte.
--- a/pollenfold/ledger/rejoin.py
+++ b/pollenfold/ledger/rejoin.py
@@ -146,7 +146,10 @@
 
 
 async def _copy_registers(peer: RpcClient, fence: Fence) -> tuple[Copy, Epochs] | None:
-    """Return the registers and epochs of a peer, read at the fence or later."""
+    """Return the registers and epochs of a peer, or None if a request fails.
+
+    The peer reads them at the fence or later.
+    """
     registers: Copy = {}
     offset = 0
     while True:
--- a/pollenfold/testing/replica.py
+++ b/pollenfold/testing/replica.py
@@ -17,7 +17,7 @@
     """Replaces ``control.replica.Replica``; it is leader until ``follow`` is called.
 
     ``loses_confirmations`` makes ``propose`` return ``NO_QUORUM`` although the command
-    is applied, as for a leader whose acknowledgements are lost.
+    is applied, as for a leader whose confirmations are lost.
     """
 
     def __init__(
--- a/pollenfold/tests/benchmarks/test_demo_steps.py
+++ b/pollenfold/tests/benchmarks/test_demo_steps.py
@@ -78,7 +78,7 @@
 
 
 def test_killed_server_is_started_again_and_its_runs_are_kept(with_demo_run):
-    """Guards against executions that aren't counted after their process was killed."""
+    """Guards against losing the executions of a killed server from the count."""
 
     async def body(demo_run, cluster):
         backend = cluster.backends[0]
--- a/pollenfold/tests/benchmarks/test_soak.py
+++ b/pollenfold/tests/benchmarks/test_soak.py
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("seed", sorted({100, *FAILED_SEEDS}))
 def test_promises_hold_under_faults(seed, tmp_path: Path):
-    """Guards against guarantees that are violated while external faults overlap."""
+    """Guards against promises that are broken while external faults overlap."""
     assert run_seed(seed, 1, tmp_path) == []
 
 
--- a/pollenfold/tests/control/test_feed_server.py
+++ b/pollenfold/tests/control/test_feed_server.py
@@ -198,7 +198,7 @@
 
 
 def test_each_entry_name_is_sent_once(with_feed):
-    """Guards against feed traffic that grows with the square of the entries."""
+    """Guards against feed traffic that is quadratic in the number of entries."""
 
     async def body(cluster_state, connect):
         first = await connect("e0")
--- a/pollenfold/tests/entry/conftest.py
+++ b/pollenfold/tests/entry/conftest.py
@@ -236,7 +236,7 @@
         return sum(server.counts.n_runs for server in self.servers)
 
     def check_did_not_run(self, reply, n_runs_before=0):
-        """Check a run state of ``did_not_run`` against the servers' counters."""
+        """Check that no server executed a request reported as ``did_not_run``."""
         if reply.run_state == "did_not_run":
             assert self.n_runs == n_runs_before
         return reply
--- a/pollenfold/tests/http/test_pipeline.py
+++ b/pollenfold/tests/http/test_pipeline.py
@@ -223,6 +223,7 @@
                 await curio.sleep(0.005)
             bodies, _ = await read_all(sock)
             assert bodies[0] == "a"
+            # A late request either gets no response or was really handled.
             assert "late" not in bodies[1:] or service.finished.count("late")
             await service.server.stop()
 
--- a/pollenfold/tests/testing/test_backend_server.py
+++ b/pollenfold/tests/testing/test_backend_server.py
@@ -44,7 +44,7 @@
     """Guards against a server that warms up with time, or can't turn cold again.
 
     Also guards against a load report in the response to a request that didn't ask for
-    it, and against a wrong count of the bytes of these headers.
+    it, and against a wrong count of the bytes of the load-report headers.
     """
 
     async def body(server, caller):
--- a/properties/test_decoders.py
+++ b/properties/test_decoders.py
@@ -255,7 +255,7 @@
 
 @given(st.lists(REQUEST_PIECES, max_size=8))
 def test_each_handled_request_gets_one_response_in_order(pieces):
-    """Guards against a handled request that gets no response or two, even with
+    """Guards against a handled request that gets no response, or two, even with
     malformed bytes between the requests."""
     handled = []
 
--- a/properties/test_register.py
+++ b/properties/test_register.py
@@ -239,7 +239,7 @@
                     self.deliver(message)
 
     def drop_or_fail(self) -> None:
-        """Drop a request or a reply; the claimant gets a timeout."""
+        """Drop a request or a reply, so the claimant gets a timeout; end a pause."""
         message = self.pick_message()
         if message is None:
             return
